--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -4,7 +4,8 @@
 
 /// Number of columns in each row of a result.
 pub const COLUMNS: usize = 3;
-/// Maximum number of pages of a result; a result of 48,000 bytes in complete rows needs far fewer.
+/// Maximum number of pages of a result; the longest result that is accepted (48,000 bytes in complete rows)
+/// needs far fewer.
 const MAX_PAGES: usize = 64;
 /// Placeholder for an empty list of fields.
 const NO_FIELDS: &str = "-";
@@ -21,7 +22,7 @@
     pub(super) const NOT_RUN: &[u8] = b"nobody";
     /// A progress note of a query that is running.
     pub(super) const PROGRESS_NOTE: &[u8] = b"update";
-    /// A further page of a result.
+    /// A further page of a result, which was requested with the command `page`.
     pub(super) const PAGE: &[u8] = b"rows";
     /// The answer to a health check.
     pub(super) const PONG: &[u8] = b"green";
@@ -52,26 +53,26 @@
     pub(super) const PROGRESS: &str = "so_far";
     /// Memory that the query lacks, in MB.
     pub(super) const MISSING_MEMORY: &str = "lacking";
-    /// Reason why the query waits: 1 for memory, 2 for a load on its tables.
+    /// Reason why the query waits: 1 for memory, 2 for a bulk load into its tables to end.
     pub(super) const WAITING: &str = "waiting";
 }
 
-/// Reason why an engine's answer cannot be used. The connection that it came on is closed.
+/// Reason why an engine's answer cannot be used. The connection on which the answer arrived is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EngineAnswerError {
     /// The answer lacks this part, or this field, which answers of its kind require.
     #[error("field {0} is missing")]
     Missing(&'static str),
-    /// The id is not one that was sent.
+    /// The id does not have the format of a request's id.
     #[error("field id is not 16 hex digits")]
     InvalidId,
-    /// The kind of the answer is unknown.
+    /// The second part of the answer is not a known kind.
     #[error("field word is not known")]
     UnknownWord,
     /// The fields are not UTF-8.
     #[error("field fields are not text")]
     FieldsNotText,
-    /// One of the fields has no value.
+    /// One of the fields, or of the values in the load report, is a name without a value.
     #[error("field fields hold one without a value")]
     FieldWithoutValue,
     /// The field is not a finite number of 0 or more.
@@ -96,7 +97,7 @@
 pub enum AnswerKind {
     /// The query has completed; the body is the first page.
     Completed {
-        /// Number of pages of the result, including the first.
+        /// Number of pages of the result, including the first; at least 1.
         pages: usize,
     },
     /// The engine is overloaded; the query did not run.
@@ -130,11 +131,11 @@
     Progress,
     /// Memory that the query lacks, in MB.
     MissingMemory,
-    /// Reason why the query waits: 1 for memory, 2 for a load on its tables.
+    /// Reason why the query waits: 1 for memory, 2 for a bulk load into its tables to end.
     Waiting,
 }
 
-/// The load report of an engine; values that it omits are `None`.
+/// The load report of an engine; values that the report omits are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineLoadReport {
     /// Number of queries in flight at the engine.
@@ -152,16 +153,16 @@
 /// Resources that a query used, as its engine reports them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryCost {
-    /// Work in milliseconds on one core.
+    /// Work, in milliseconds on one core.
     pub work_ms: f64,
-    /// Memory in MB.
+    /// Memory that the query used, in MB; 0 if the engine does not report it.
     pub memory_mb: f64,
 }
 
 /// One answer of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineAnswer<'a> {
-    /// The request's id, as it was sent.
+    /// Id of the request that the answer is for, as it was sent: 16 hexadecimal digits.
     pub id: &'a [u8],
     /// Kind of the answer, with the values of that kind.
     pub kind: AnswerKind,
@@ -173,7 +174,7 @@
     pub body: &'a [u8],
 }
 
-/// The fields of an answer.
+/// The known fields of an answer.
 #[derive(Default)]
 struct AnswerFields {
     page_count: Option<usize>,
@@ -188,7 +189,8 @@
 /// Decodes the parts of an array as an engine's answer. Unknown fields are ignored.
 ///
 /// # Errors
-/// If a known field cannot be read. Ignoring it could present a part of a result as the complete result.
+/// If a known field cannot be read. If it were ignored, a part of a result could pass for the complete
+/// result.
 pub fn read_answer<'a>(parts: &[&'a [u8]]) -> Result<EngineAnswer<'a>, EngineAnswerError> {
     let [id, name, rest @ ..] = parts else { return Err(EngineAnswerError::Missing("word")) };
     let text = rest.first().copied().unwrap_or(NO_FIELDS.as_bytes());
@@ -255,8 +257,8 @@
     }
 }
 
-/// Names of the values of a load report on the wire. One generation of engines writes the names, the other
-/// the aliases.
+/// Names of the values of a load report on the wire. One generation of engines writes the names, another
+/// generation the aliases.
 mod load_report {
     /// Queries in flight at the engine.
     pub(super) const IN_FLIGHT: &str = "inflight";
--- a/src/proto/engine_command.rs
+++ b/src/proto/engine_command.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-/// Sends a query, with its [`QueryFields`] and its statement.
+/// Command that sends a query, with its [`QueryFields`] and its statement.
 pub const QUERY: &[u8] = b"do";
-/// Cancels an attempt that is not served yet.
+/// Command that cancels an attempt that is not served yet.
 pub const CANCEL: &[u8] = b"undo";
-/// Releases the result of a served attempt at its engine.
+/// Command that releases the result of a served attempt at its engine.
 pub const RELEASE_RESULT: &[u8] = b"forget";
-/// Requests a further page of a result.
+/// Command that requests a further page of a result.
 pub const PAGE: &[u8] = b"page";
-/// Sets the priority of an attempt.
+/// Command that sets the priority level of an attempt.
 pub const SET_PRIORITY: &[u8] = b"bump";
 
 /// Names of the fields of a query on the wire.
@@ -36,7 +36,8 @@
     pub time_left_ms: i64,
     /// The idempotency key, for classes that carry one.
     pub idempotency_key: Option<&'a str>,
-    /// The memory that is granted, in MB; written as a whole number of at least 1.
+    /// The memory that is granted, in MB, rounded up to a whole number of at least 1; `None` if the engine
+    /// chooses.
     pub memory_grant_mb: Option<f64>,
     /// The priority level, from 0 (lowest) to 3.
     pub priority: u8,
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -11,7 +11,7 @@
 mod field {
     /// The event's number, counted from 1 since the feed's start.
     pub(super) const NUMBER: &str = "n";
-    /// The change of the endpoint list; absent from other events.
+    /// The change of the endpoint list; absent from events of other kinds.
     pub(super) const LIST: &str = "members";
     /// The endpoints of a list.
     pub(super) const LIST_ENDPOINTS: &str = "members";
@@ -31,7 +31,7 @@
     pub(super) const CELL: &str = "cell";
     /// Phase of an endpoint.
     pub(super) const PHASE: &str = "phase";
-    /// Start time of an endpoint, in Unix milliseconds; absent unless the endpoint started late.
+    /// Start time of an endpoint, in Unix milliseconds; absent if the endpoint did not start recently.
     pub(super) const UP_SINCE_MS: &str = "up_since_ms";
 }
 
@@ -50,14 +50,14 @@
     /// damaged id could name another engine.
     #[error("field data is not UTF-8")]
     NotUtf8,
-    /// The text is not JSON; the message includes the parser's.
+    /// The text is not JSON; the message of the JSON parser is included.
     #[error("field data is not JSON: {0}")]
     NotJson(serde_json::Error),
     /// The event's number is missing or not a number.
     #[error("field n is missing or no number")]
     NoNumber,
     /// The event's number is above [`MAX_EVENT_NUMBER`].
-    #[error("field n is no event's number")]
+    #[error("field n is above the maximum event number")]
     NumberTooLarge,
     /// The list has no array of endpoints.
     #[error("field members is missing or no list")]
@@ -91,9 +91,9 @@
     pub kind: String,
     /// Number of the engine's cell.
     pub cell: u32,
-    /// Phase of the endpoint.
+    /// Phase of the endpoint; an unknown phase counts as ready.
     pub phase: EndpointPhase,
-    /// Start time of the engine, in Unix milliseconds; 0 unless the engine started late.
+    /// Start time of the engine, in Unix milliseconds; 0 if the engine did not start recently.
     pub up_since_ms: i64,
 }
 
@@ -110,7 +110,7 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// An event in the configuration; `None` if it does not change the endpoint list.
+/// An event of the control feed in the configuration; `None` if the event does not change the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredEvent(pub Option<ListEvent>);
 
@@ -133,7 +133,7 @@
     decode(&value)
 }
 
-/// Decodes an event; `None` if it does not change the endpoint list.
+/// Decodes an event from JSON; `None` if the event does not change the endpoint list.
 ///
 /// # Errors
 /// If the value is not an event.
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -10,7 +10,7 @@
     pub const CLASS: &str = "kind";
     /// The request's id: 16 hexadecimal digits.
     pub const REQUEST_ID: &str = "req";
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits after its request has arrived, in milliseconds.
     pub const TIMEOUT: &str = "timeout";
     /// Name of the tenant.
     pub const TENANT: &str = "owner";
@@ -26,7 +26,7 @@
 
 /// The only valid value of the field [`name::RETRY`].
 const IS_RETRY: &str = "1";
-/// Hexadecimal digits of a request's id.
+/// Number of hexadecimal digits of a request's id.
 const ID_DIGITS: usize = 16;
 /// Maximum number of characters of an idempotency key.
 const MAX_KEY_CHARACTERS: usize = 128;
@@ -75,16 +75,16 @@
     }
 }
 
-/// The fields of a request; absent ones are `None`.
+/// The fields of a request; fields that the comment omits are `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fields {
-    /// Name of the class.
+    /// Name of the request's class, not checked against the configured classes.
     pub class: Option<String>,
-    /// The request's id.
+    /// The request's id, which the client chose.
     pub request_id: Option<u64>,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits after its request has arrived, in milliseconds.
     pub timeout_ms: Option<u64>,
-    /// Name of the tenant.
+    /// Name of the request's tenant, not checked against the configured tenants.
     pub tenant: Option<String>,
     /// Whether the request is a client's retry.
     pub is_retry: bool,
@@ -96,8 +96,9 @@
     pub memory_mb: Option<f64>,
 }
 
-/// Splits a text into its leading comment, empty unless it holds fields, and the statement after it. Only
-/// white space may precede the comment.
+/// Splits a text into its leading comment and the statement after the comment. If the comment does not
+/// consist of fields, or something other than white space precedes it, the first part is empty and the second
+/// is the whole text.
 ///
 /// # Errors
 /// If the comment is not closed.
@@ -122,7 +123,7 @@
     Ok((read(pairs(comment))?, statement))
 }
 
-/// The names and values of a comment.
+/// Splits a comment into the names and values of its fields.
 pub fn pairs(comment: &str) -> impl Iterator<Item = (&str, &str)> {
     comment.split(',').filter_map(|pair| pair.trim().split_once('='))
 }
@@ -138,8 +139,8 @@
 /// Reads names and values; unknown names are ignored.
 ///
 /// # Errors
-/// If a value is invalid for its field, or a field is given twice: which of the two values is meant is
-/// unknown.
+/// If a value is invalid for its field, or a field is given twice, since it is unknown which of the two
+/// values is meant.
 pub fn read<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Fields, FieldError> {
     let mut fields = Fields::default();
     let mut names_read = Vec::new();
@@ -165,8 +166,8 @@
 }
 
 fn read_id(value: &str) -> Result<u64, FieldError> {
-    let is_hex = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let id = is_hex.then(|| u64::from_str_radix(value, 16).ok()).flatten();
+    let has_id_format = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let id = has_id_format.then(|| u64::from_str_radix(value, 16).ok()).flatten();
     id.ok_or(FieldError::InvalidId)
 }
 
--- a/src/proto/literal/mod.rs
+++ b/src/proto/literal/mod.rs
@@ -9,14 +9,14 @@
 use super::tables::{first_token, Token};
 use type_oid::{BOOL, FLOAT4, FLOAT8, INT2, INT4, INT8, NUMERIC, OID};
 
-/// Format code of values in text.
+/// Format code of values in text format; any other code means binary.
 const TEXT_FORMAT: u16 = 0;
 /// Characters that may precede a literal without a space between.
 const MAY_PRECEDE: [char; 6] = [' ', '\t', '\n', '\r', '(', ','];
 /// Characters that may follow a literal without a space between.
 const MAY_FOLLOW: [char; 7] = [' ', '\t', '\n', '\r', ')', ',', ';'];
 
-/// A bound parameter.
+/// The value of a bound parameter, decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
     /// The value as an SQL literal in a statement.
@@ -72,7 +72,7 @@
     }
 }
 
-/// A number, in parentheses if it has a sign: `-5` directly after a minus sign would begin a comment.
+/// Puts a number in parentheses if it has a sign: `-5` directly after a minus sign would begin a comment.
 fn parenthesize_signed(digits: String) -> String {
     if digits.starts_with(['-', '+']) {
         format!("({digits})")
@@ -81,8 +81,8 @@
     }
 }
 
-/// A string literal. Text with a backslash becomes an escape string (`E'...'`), which has the same meaning
-/// whether or not the engine treats backslashes in plain strings as escapes.
+/// Converts text to a string literal. Text with a backslash becomes an escape string (`E'...'`), which has
+/// the same meaning whether or not the engine treats backslashes in plain strings as escapes.
 fn quote(text: &str) -> String {
     let doubled = text.replace('\'', "''");
     if doubled.contains('\\') {
--- a/src/proto/pg/error.rs
+++ b/src/proto/pg/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Why a client's bytes are not a message of the protocol.
+/// Reason why a client's bytes are not a message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PgError {
     /// The length of a start-up packet is out of bounds.
@@ -42,29 +42,29 @@
     UnknownObjectKind,
 }
 
-/// An ErrorResponse.
+/// An error as a client receives it, in an ErrorResponse message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{code}: {message}")]
 pub struct ErrorResponse {
-    /// The SQLSTATE.
+    /// SQLSTATE of five characters (PostgreSQL, appendix A).
     pub code: &'static str,
     /// Message for people.
     pub message: String,
-    /// Detail for programs, in the form `name=value`.
+    /// Detail for programs, in the form `name=value`, if there is one.
     pub detail: Option<String>,
-    /// What the client can do.
+    /// Advice on what the client can do, if there is any.
     pub hint: Option<String>,
     /// Whether the session ends after this error.
     pub fatal: bool,
 }
 
 impl ErrorResponse {
-    /// An error without detail or hint.
+    /// Creates an error without detail and hint, after which the session continues.
     pub fn new(code: &'static str, message: impl Into<String>) -> ErrorResponse {
         ErrorResponse { code, message: message.into(), detail: None, hint: None, fatal: false }
     }
 
-    /// An error for a malformed message or field (SQLSTATE 08P01, protocol violation).
+    /// Creates the error for a malformed message or field (SQLSTATE 08P01, protocol violation).
     pub fn malformed(reason: impl std::fmt::Display) -> ErrorResponse {
         ErrorResponse::new("08P01", format!("malformed message: {reason}"))
     }
--- a/src/proto/pg/message.rs
+++ b/src/proto/pg/message.rs
@@ -4,7 +4,7 @@
 use super::error::PgError;
 use thiserror::Error;
 
-/// Length of a message's type and length fields in bytes.
+/// Length in bytes of the type and the length field of a message.
 const HEADER_BYTES: usize = 5;
 /// Minimum value of a message's length field, which counts its own 4 bytes.
 const MIN_LENGTH: usize = 4;
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{error}")]
 pub struct MalformedMessage {
-    /// Why the message cannot be read.
+    /// Reason why the message cannot be read.
     pub error: PgError,
     /// Length of the message in bytes; `None` if the start of the next message is unknown.
     pub length: Option<usize>,
--- a/src/proto/pg/mod.rs
+++ b/src/proto/pg/mod.rs
@@ -17,5 +17,5 @@
 pub use message::{is_simple_query, read_message, MalformedMessage, Message, ObjectKind};
 pub use startup_packet::{read_startup_packet, StartupPacket};
 
-/// Object id of the type `text`.
+/// Object id of PostgreSQL's type `text`, which all columns of a result have.
 pub const TEXT: u32 = 25;
--- a/src/proto/pg/startup_packet.rs
+++ b/src/proto/pg/startup_packet.rs
@@ -24,11 +24,11 @@
     Ssl,
     /// GSSENCRequest: the client asks for GSSAPI encryption.
     Gssenc,
-    /// CancelRequest: the open request of another session is to be cancelled.
+    /// CancelRequest: the client asks to cancel the open request of another session.
     Cancel {
-        /// The process id of the session whose request is to be cancelled.
+        /// The process id, from BackendKeyData, of the session whose request the client asks to cancel.
         process_id: u32,
-        /// The secret key of that session.
+        /// The secret key of this session, from BackendKeyData.
         secret: u32,
     },
     /// StartupMessage: the client starts a session.
--- a/src/proto/resp.rs
+++ b/src/proto/resp.rs
@@ -27,7 +27,7 @@
     #[error("field bulk does not end with a line break")]
     NoLineEnd,
     /// The type byte of an array or of a bulk string is missing before a length.
-    #[error("field length does not begin with its mark")]
+    #[error("field length does not begin with its type byte")]
     UnexpectedType,
     /// A length has too many digits.
     #[error("field length is too long")]
--- a/src/proto/sse.rs
+++ b/src/proto/sse.rs
@@ -14,7 +14,7 @@
 /// Name of the field that holds an event's data.
 const DATA_FIELD: &str = "data";
 
-/// Why a stream cannot be decoded.
+/// Reason why a stream cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SseError {
     /// A line, or the data of an event, is longer than [`MAX_EVENT_BYTES`].
@@ -27,7 +27,7 @@
 pub struct ServerSentEvent {
     /// Number of the event, from its field `id`; `None` if the field is absent or invalid.
     pub id: Option<u64>,
-    /// Values of the fields `data` of the event, joined by line feeds.
+    /// Values of the event's fields `data`, joined by line feeds.
     pub data: String,
 }
 
@@ -44,6 +44,7 @@
     is_skipping: bool,
     /// Undecoded bytes after the piece at which an event became too long.
     rest: Vec<u8>,
+    /// Number of complete events and comments.
     completed: u64,
 }
 
@@ -85,7 +86,7 @@
     /// Skips the event that was too long up to its end, and decodes the bytes after it.
     ///
     /// # Errors
-    /// As [`Decoder::decode`].
+    /// If a later event is too long, as for [`Decoder::decode`].
     pub fn skip_event(&mut self, events: &mut Vec<ServerSentEvent>) -> Result<(), SseError> {
         self.is_skipping = true;
         self.data = None;
--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -1,11 +1,12 @@
-//! Finds the group of tables that a statement reads or writes (the number after the underscore in the name of
-//! its schema), and checks that a text holds only one statement.
+//! Finds the number of the group of tables that a statement reads or writes, and checks that a text holds
+//! only one statement. The tables of a group are in schemas whose names end with an underscore and the number
+//! of the group.
 
 use sprucelink_query_fingerprint::facts::data_set;
 use sprucelink_query_fingerprint::lex::{self, TokenKind};
 use thiserror::Error;
 
-/// The text holds more than one statement.
+/// Error for a text that holds more than one statement, of which a request may have only one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("field query holds several statements, where one is supported")]
 pub struct SeveralStatements;
@@ -25,7 +26,7 @@
     Space,
 }
 
-/// The first token of a statement and its length in bytes; `None` at the end.
+/// The kind of the first token of `text`, and the length of the token in bytes; `None` if `text` is empty.
 pub fn first_token(text: &str) -> Option<(Token, usize)> {
     let token = lex::token(text, 0)?;
     let kind = match token.kind {
@@ -42,8 +43,9 @@
 /// Keywords that are followed by the name of a table.
 const TABLE_KEYWORDS: [&str; 8] = ["from", "into", "update", "join", "table", "copy", "only", "using"];
 
-/// The group of tables of a statement, 0 if no schema in it has a number. A name that follows one of
-/// [`TABLE_KEYWORDS`] is certainly a schema and has precedence; any other may be a table's alias.
+/// The number of a statement's group of tables; 0 if no schema in the statement has a number. A name before a
+/// dot is taken for a schema. If it follows one of [`TABLE_KEYWORDS`], it is certainly a schema and has
+/// precedence; any other name may be a table's alias.
 pub fn group(statement: &str) -> u64 {
     let mut rest = statement;
     let mut fallback = None;
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -1,7 +1,7 @@
 //! Hosts many instances of the policy, driven by the simulator's line protocol.
 //!
-//! Instances share no state. The host reads batches of lines and answers each batch before it reads the next;
-//! all decisions are the policy's.
+//! An instance is one simulated manager: a policy with its own settings. Instances share no state. The host
+//! reads batches of lines and answers each batch before it reads the next; all decisions are the policy's.
 
 use super::codec::{parse_line, print_action, print_batch_end, print_panic, Line, ListedEngine, WireError};
 use sprucelink_capture::recorder::Recorder;
@@ -56,7 +56,7 @@
     /// An engine list has fewer entries than it announced.
     #[error("field elements announces more ENGINE lines than follow")]
     ListIncomplete,
-    /// An entry is not part of an engine list.
+    /// An engine list has more entries than it announced, or none began.
     #[error("an ENGINE line does not belong to a POOL")]
     EntryOutsideList,
     /// An endpoint update refers to an engine list that was never sent.
@@ -98,8 +98,8 @@
     BatchComplete,
 }
 
-/// One instance of the policy, with the names of the engines that it knows. An engine's number is its
-/// position in `engine_names`, in the order in which the names were received.
+/// One instance of the policy, with the names of the engines that it knows. The number of an engine is the
+/// position of its name in `engine_names`, in the order in which the names were received.
 struct Instance {
     policy: Policy,
     recorder: Option<Recorder>,
@@ -112,7 +112,7 @@
         Instance { policy, recorder, engine_names: Vec::new(), engine_ids: BTreeMap::new() }
     }
 
-    /// Returns the number of an engine, and assigns the next one to a new name.
+    /// Returns the number of an engine; an engine with a new name gets the next number.
     fn engine_id(&mut self, name: &str) -> EngineId {
         if let Some(&id) = self.engine_ids.get(name) {
             return id;
@@ -157,7 +157,7 @@
     /// Number of the current batch.
     batch: String,
     instances: BTreeMap<String, Instance>,
-    /// Engine lists, by number.
+    /// Engine lists that were received, by number.
     lists: BTreeMap<usize, Vec<ListedEngine>>,
     open_list: Option<OpenList>,
     /// The reply to the current batch so far.
@@ -265,7 +265,8 @@
         Ok(Some(list.iter().map(numbered).collect()))
     }
 
-    /// Handles the end of a load probe; a probe of an engine that is unknown to the instance is ignored.
+    /// Passes the outcome of a load probe to an instance; a probe of an engine that the instance does not
+    /// know is ignored.
     fn handle_probe(&mut self, instance: &str, engine: &str, outcome: Outcome, report: LoadReport) {
         let known = self.instances.get(instance).and_then(|instance| instance.engine_ids.get(engine));
         if let Some(&engine) = known {
@@ -297,7 +298,7 @@
     }
 }
 
-/// The message of a panic.
+/// The message of a panic, from the value that `catch_unwind` returns.
 fn panic_message(cause: &(dyn Any + Send)) -> String {
     if let Some(text) = cause.downcast_ref::<&str>() {
         return (*text).to_owned();
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -1,5 +1,6 @@
 //! Codec of the simulator's line protocol: decodes lines of tab-separated fields to events, and encodes
-//! actions as lines.
+//! actions as lines. Most lines concern an instance: one simulated manager, which is a policy with its own
+//! settings.
 //!
 //! The wire's [`names`] are translated to standard terms and are not used outside this codec. Unknown
 //! settings, load report values and engine states are skipped; a malformed line is an error that names the
@@ -20,7 +21,7 @@
 /// An entry of an engine list, with the engine's name instead of its number.
 #[derive(Clone, Debug)]
 pub struct ListedEngine {
-    /// The engine's name.
+    /// The engine's name on the wire.
     pub name: String,
     /// The rest of the entry; its engine number is a placeholder.
     pub entry: EngineEntry,
@@ -31,7 +32,7 @@
 pub enum Line {
     /// A batch begins.
     BatchBegin {
-        /// The simulated time.
+        /// The simulated time at which the events of the batch occur.
         now: Timestamp,
         /// The batch's number, which the reply repeats.
         batch: String,
@@ -40,52 +41,52 @@
     BatchEnd,
     /// An engine list begins.
     ListBegin {
-        /// Number of the list.
+        /// Number of the list, by which later lines refer to it.
         list: usize,
-        /// How many entries follow.
+        /// Number of entries that follow.
         entries: usize,
     },
     /// An entry of the list that began last.
     ListEntry(ListedEngine),
     /// An instance starts.
     Start {
-        /// The instance's name.
+        /// Name of the new instance.
         instance: String,
         /// Seed of the instance's random numbers.
         seed: u64,
-        /// The instance's settings.
+        /// Settings of the instance's policy.
         settings: Box<Settings>,
     },
     /// An instance ends.
     Stop {
-        /// The instance's name.
+        /// Name of the instance that ends.
         instance: String,
     },
     /// An instance receives an update of the endpoint list.
     EndpointsChanged {
-        /// The instance's name.
+        /// Name of the instance that receives the update.
         instance: String,
-        /// Kind of the update.
+        /// Whether the update is a complete list, a list of changes, or a failure.
         kind: EndpointUpdate,
-        /// Number of the engine list; 0 if the update has failed.
+        /// Number of the engine list that holds the entries; 0 if the update has failed.
         list: usize,
     },
     /// A load probe of an instance ended.
     ProbeCompleted {
-        /// The instance's name.
+        /// Name of the instance that sent the probe.
         instance: String,
-        /// The engine's name.
+        /// Name of the engine that was probed.
         engine: String,
         /// Outcome of the probe.
         outcome: Outcome,
-        /// The engine's load report.
+        /// The engine's load report; empty if the line has none.
         report: LoadReport,
     },
     /// Any other event of an instance.
     Event {
-        /// The instance's name.
+        /// Name of the instance.
         instance: String,
-        /// The event.
+        /// The event, as the policy takes it.
         event: Event,
     },
 }
--- a/src/simulator/codec/error.rs
+++ b/src/simulator/codec/error.rs
@@ -2,19 +2,19 @@
 
 use sprucelink_settings::ErrorReason;
 
-/// A line cannot be parsed.
+/// Error for a line that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field} {reason} in line: {line}")]
 pub struct WireError {
     /// Name of the first invalid field.
     pub field: String,
-    /// What is wrong with the field.
+    /// Reason why the field is invalid.
     pub reason: FieldError,
-    /// The beginning of the line, for the message.
+    /// The beginning of the line, which the message quotes.
     pub line: String,
 }
 
-/// What is wrong with a field.
+/// Reason why a field is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
     /// The field is absent or empty.
--- a/src/simulator/codec/fields.rs
+++ b/src/simulator/codec/fields.rs
@@ -8,14 +8,14 @@
 const MAX_QUOTED_CHARS: usize = 120;
 /// Number of digits of a request id.
 const REQUEST_ID_DIGITS: usize = 16;
-/// A query's cost is encoded as one number. Divided by this, its remainder is the memory in units of
-/// [`COST_MEMORY_UNIT_MB`], and its quotient the work in thread-milliseconds.
+/// Divisor of the number that encodes the cost of a query: the quotient is the work in thread-milliseconds,
+/// and the remainder is the memory in units of [`COST_MEMORY_UNIT_MB`].
 const COST_MEMORY_VALUES: u64 = 4096;
-/// The unit of a cost's memory, in MB.
+/// Unit of the memory in the cost of a query, in MB.
 const COST_MEMORY_UNIT_MB: f64 = 4.0;
 /// Thread-milliseconds in a thread-second.
 const MILLIS_PER_SECOND: f64 = 1e3;
-/// Index of the first field of an `INIT` line that holds a setting.
+/// Index of the first field of an `INIT` line that holds a setting; all later fields hold settings, too.
 const FIRST_SETTING: usize = 3;
 
 /// The fields of a line. An empty field and `-` count as absent.
--- a/src/simulator/codec/names.rs
+++ b/src/simulator/codec/names.rs
@@ -1,4 +1,4 @@
-//! The names on the wire, each with its standard term. They are not used outside this codec.
+//! The names on the wire, each as a constant with its standard term. They are not used outside this codec.
 
 /// Names of the lines that the simulator sends: the first field of each.
 pub(super) mod received {
@@ -104,7 +104,7 @@
     pub(crate) const ESTIMATED_COST: &str = "expected";
     /// A request's estimated memory, in MB.
     pub(crate) const ESTIMATED_MEMORY: &str = "memMb";
-    /// The number of an attempt.
+    /// The number of an attempt of a request.
     pub(crate) const ATTEMPT: &str = "attempt";
     /// The kind of a progress note.
     pub(crate) const NOTE_KIND: &str = "topic";
@@ -120,7 +120,8 @@
     pub(crate) const QUERY_COST: &str = "bill";
     /// An engine's load report.
     pub(crate) const LOAD_REPORT: &str = "pressure";
-    /// The token of a timer.
+    /// The number that identifies a timer: [`super::sent::START_TIMER`] carries it, and
+    /// [`super::received::TIMER`] returns it.
     pub(crate) const TIMER_TOKEN: &str = "handle";
     /// The manager that sent a message.
     pub(crate) const SENDER: &str = "src";
@@ -153,11 +154,12 @@
     /// Completed fraction of the work.
     pub(crate) const PROGRESS: u64 = 1;
     /// Memory that the query lacks, in MB.
-    pub(crate) const SPILLS: u64 = 2;
+    pub(crate) const MISSING_MEMORY: u64 = 2;
     /// The query waits; the note's value gives the reason.
-    pub(crate) const WAITS: u64 = 3;
-    /// Minimum value of a [`WAITS`] note that means a load on the query's tables; a lower value means memory.
-    pub(crate) const MIN_WAITS_FOR_LOAD: f64 = 2.0;
+    pub(crate) const WAITING: u64 = 3;
+    /// Minimum value of a [`WAITING`] note that means a wait for a bulk load into the query's tables to end;
+    /// a lower value means a wait for memory.
+    pub(crate) const MIN_WAITING_VALUE_FOR_LOAD: f64 = 2.0;
 }
 
 /// Values of an outcome.
--- a/src/simulator/codec/parse.rs
+++ b/src/simulator/codec/parse.rs
@@ -112,9 +112,9 @@
     let value = fields.optional_number(6, field::NOTE_VALUE)?.unwrap_or(0.0);
     let note = match fields.integer(5, field::NOTE_KIND)? {
         note_kind::PROGRESS => ProgressNote::Progress(value),
-        note_kind::SPILLS => ProgressNote::Spills(value),
-        note_kind::WAITS if value >= note_kind::MIN_WAITS_FOR_LOAD => ProgressNote::WaitsForLoad,
-        note_kind::WAITS => ProgressNote::WaitsForMemory,
+        note_kind::MISSING_MEMORY => ProgressNote::Spills(value),
+        note_kind::WAITING if value >= note_kind::MIN_WAITING_VALUE_FOR_LOAD => ProgressNote::WaitsForLoad,
+        note_kind::WAITING => ProgressNote::WaitsForMemory,
         _ => return Ok(None),
     };
     let attempt = fields.integer(3, field::ATTEMPT)? as u32;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,5 +1,6 @@
-//! The interface to the simulator: [`codec`] encodes and decodes its line protocol, [`adapter`] hosts many
-//! instances of the policy on it. The program is `sprucelink-simhost`.
+//! The interface to the simulator: [`codec`] encodes and decodes the simulator's line protocol, and
+//! [`adapter`] runs the simulated managers, each an instance of the policy. The program is
+//! `sprucelink-simhost`.
 
 pub mod adapter;
 pub mod codec;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -268,7 +268,7 @@
 fn malformed_events_and_arrays_name_the_field() {
     let events = [
         ("{\"n\":\"x\"}", "field n is missing or no number"),
-        ("{\"n\":9007199254740992}", "field n is no event's number"),
+        ("{\"n\":9007199254740992}", "field n is above the maximum event number"),
         ("{\"n\":1,\"members\":{}}", "field members is missing or no list"),
         ("{\"n\":1,\"members\":{\"members\":[{}]}}", "field id is missing"),
         ("\u{fffd}", "field data is not UTF-8"),
@@ -281,7 +281,7 @@
         (b"*0\r\n", "field array has no legal number of parts"),
         (b"*1\r\n$65\r\n", "field bulk is longer than allowed"),
         (b"*1\r\n$1\r\nabc", "field bulk does not end with a line break"),
-        (b"+OK\r\n", "field length does not begin with its mark"),
+        (b"+OK\r\n", "field length does not begin with its type byte"),
         (b"*12345678\r\n", "field length is too long"),
         (b"*x\r\n", "field length is not a number"),
     ];
