--- a/src/proto/tables.rs
+++ b/src/proto/tables.rs
@@ -1,6 +1,6 @@
 //! Finds the number of the group of tables that a statement reads or writes, and checks that a text holds
 //! only one statement. The tables of a group are in schemas whose names end with an underscore and the number
-//! of the group.
+//! of the group; schemas named `staging_N` belong to no group.
 
 use sprucelink_query_fingerprint::facts::data_set;
 use sprucelink_query_fingerprint::lex::{self, TokenKind};
--- a/src/run/commands/check.rs
+++ b/src/run/commands/check.rs
@@ -15,7 +15,7 @@
     println!("the configuration will do: listen {}, {classes} classes, {events} events", config.listen);
     print_second_front(server.second_front.as_ref());
     print_recorder(server.recorder.as_ref());
-    print_cold_start(server.cold_start.as_ref());
+    print_startup(server.startup.as_ref());
     print_membership(server.membership.as_ref());
     print_failover(server.failover.as_ref());
 }
@@ -36,7 +36,7 @@
     }
 }
 
-fn print_cold_start(settings: Option<&StartupConfig>) {
+fn print_startup(settings: Option<&StartupConfig>) {
     match settings {
         Some(settings) if settings.enabled => println!(
             "the cold start's settings will do: lists at {} a second for the fleet, dials staged over {} ms",
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -36,7 +36,7 @@
     /// Settings of the capture recorder; `None` disables recording.
     pub recorder: Option<RecorderSettings>,
     /// Startup pacing; off if absent or not enabled.
-    pub cold_start: Option<StartupConfig>,
+    pub startup: Option<StartupConfig>,
     /// Gossip between managers; off if absent or not enabled.
     pub membership: Option<MembershipConfig>,
     /// Failover between zones; off if absent or not enabled.
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -49,13 +49,13 @@
     /// The first subsystem that cannot start.
     pub async fn start(server: ServerConfig, reloader: Reloader) -> Result<Server, ServeError> {
         let config = server.config;
-        let cold_start = server.cold_start.filter(|cold_start| cold_start.enabled);
+        let startup = server.startup.filter(|startup| startup.enabled);
         let longest_deadline =
             config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(TimeDelta::ZERO);
-        let core = build_core(&config, cold_start.as_ref())?;
+        let core = build_core(&config, startup.as_ref())?;
         start_recorder(&core, server.recorder, config.seed);
         apply_known_endpoints(&core, &config);
-        let poller = cold_start.map(|cold_start| endpoint_poller(cold_start, &config));
+        let poller = startup.map(|startup| endpoint_poller(startup, &config));
         start_failover(&core, server.failover, &config);
         let membership = start_membership(&core, server.membership, &config).await?;
         let core_task = spawn_local(Rc::clone(&core).run());
@@ -85,9 +85,9 @@
     }
 }
 
-fn build_core(config: &Config, cold_start: Option<&StartupConfig>) -> Result<Rc<Core>, ServeError> {
+fn build_core(config: &Config, startup: Option<&StartupConfig>) -> Result<Rc<Core>, ServeError> {
     let mut settings = config.settings.clone();
-    let ramp = cold_start.and_then(|cold_start| cold_start.first_load.ramp());
+    let ramp = startup.and_then(|startup| startup.first_load.ramp());
     settings.restart_ramp = ramp.map(RestartRamp::from);
     let classes: Vec<String> = config.front.classes.iter().map(|class| class.name.clone()).collect();
     let metrics = Metrics::try_new(&classes).map_err(|e| ServeError::Metrics(Box::new(e)))?;
@@ -100,9 +100,9 @@
         pool: BufferPool::new(config.buffers),
         metrics,
     });
-    if let Some(cold_start) = cold_start {
+    if let Some(startup) = startup {
         // Enabled before the first endpoint list, so that the limits apply from the first connection.
-        core.enable_startup_control(cold_start, &config.name);
+        core.enable_startup_control(startup, &config.name);
     }
     Ok(core)
 }
@@ -129,9 +129,9 @@
 }
 
 /// Creates the schedule on which this manager polls for endpoint lists.
-fn endpoint_poller(cold_start: StartupConfig, config: &Config) -> EndpointPoller {
+fn endpoint_poller(startup: StartupConfig, config: &Config) -> EndpointPoller {
     let fleet = config.settings.gateways;
-    let poller = EndpointPoller::new(cold_start.endpoint_poller, fleet, config.seed, now());
+    let poller = EndpointPoller::new(startup.endpoint_poller, fleet, config.seed, now());
     let window_s = poller.first_poll_window().as_secs_f64();
     info!(window_s, managers = fleet, "first endpoint poll scheduled");
     poller
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -60,7 +60,7 @@
         inherited_listener,
         second_front,
         recorder,
-        cold_start: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
+        startup: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
         membership: read_optional(options.membership.as_ref(), MembershipConfig::parse)?,
         failover: read_optional(options.failover.as_ref(), FailoverConfig::parse)?,
         config,
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -66,7 +66,7 @@
     EndpointsChanged {
         /// Name of the instance that receives the update.
         instance: String,
-        /// Whether the update is a complete list, a list of changes, or a failure.
+        /// Whether the update is a complete list, the last cached list, a list of changes, or a failure.
         kind: EndpointUpdate,
         /// Number of the engine list that holds the entries; 0 if the update has failed.
         list: usize,
