--- a/src/run/admin.rs
+++ b/src/run/admin.rs
@@ -17,7 +17,8 @@
 /// Origin in the record of a cordon that an operator set.
 const CORDON_ORIGIN: &str = "by the operators' address";
 
-/// Divisor of the limit on descriptors that gives the limit on admin connections.
+/// The limit on admin connections is the limit on descriptors divided by this, but at least
+/// [`MIN_CONNECTIONS`] and at most [`MAX_CONNECTIONS`].
 const CONNECTIONS_DIVISOR: usize = 16;
 /// Lowest limit on admin connections.
 const MIN_CONNECTIONS: usize = 4;
@@ -25,13 +26,13 @@
 const MAX_CONNECTIONS: usize = 32;
 /// Longest time that an admin request may take to arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time that the response may take to be written.
+/// Longest time that a client may take to read its response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest time that a connection is kept after its response, so that the client can read it.
 const LINGER: Duration = Duration::from_millis(500);
-/// Admin connections accepted per second, on average.
+/// Maximum rate of accepting admin connections in the long run, per second.
 const ACCEPTS_PER_SECOND: u32 = 500;
-/// Admin connections accepted at once after an idle period.
+/// Maximum number of admin connections accepted at once after an idle period.
 const ACCEPT_BURST: u32 = 256;
 
 /// Limits of the admin address in a process that may hold `sockets` descriptors. Operators, health checks and
@@ -47,23 +48,23 @@
     }
 }
 
-/// The admin address cannot be listened on.
+/// Error for an admin address that cannot be listened on.
 #[derive(Debug, thiserror::Error)]
 #[error("operators: listen on {address}")]
 pub struct AdminListenError {
-    /// The address as configured.
+    /// The admin address as configured.
     pub address: String,
     /// The operating system's reason.
     pub source: io::Error,
 }
 
-/// The counter of how often clients reach a limit.
+/// A limit of the admin address, and the counter of how often clients reach it.
 struct LimitCounter {
     limit: LimitReached,
     counter: Counter,
 }
 
-/// The operations of the admin address on this process.
+/// The operations of the admin address, which act on the core of this process.
 pub struct AdminOperations {
     core: Rc<Core>,
     is_ready: Cell<bool>,
@@ -91,7 +92,7 @@
     /// Listens on `address` and serves admin requests within `limits`, in a task of the current `LocalSet`.
     ///
     /// # Errors
-    /// An address that cannot be listened on.
+    /// If `address` cannot be listened on.
     pub async fn listen(self: &Rc<Self>, address: &str, limits: Limits) -> Result<(), AdminListenError> {
         let listen_error = |source| AdminListenError { address: address.to_owned(), source };
         let listener = listen(address).await.map_err(listen_error)?;
@@ -101,8 +102,9 @@
         Ok(())
     }
 
-    /// The response to a request that sets or ends a cordon, after the result is recorded for a hot restart.
-    fn complete(
+    /// Records the outcome of a request that sets or ends a cordon for a hot restart, and returns the
+    /// response to the request.
+    fn complete_cordon_request(
         &self,
         engine: &str,
         outcome: Result<CordonOutcome, CordonError>,
@@ -111,7 +113,8 @@
             warn!(engine_id = engine, %error, "cordon call rejected");
             rejection(&error)
         });
-        // Written before the response: a confirmed cordon must survive the exit of this process.
+        // The cordons are written before the response is sent: a confirmed cordon must survive the exit of
+        // this process.
         if let (Ok(_), Some(hot_restart)) = (&outcome, &self.hot_restart) {
             hot_restart.record_cordons().map_err(|error| {
                 OperationError::Unavailable(format!("it holds here and is not on record: {error}"))
@@ -126,7 +129,7 @@
     }
 }
 
-/// The response to a request whose cordon was rejected.
+/// The response to a request for a cordon that the core rejected.
 fn rejection(error: &CordonError) -> OperationError {
     match error {
         CordonError::NeverListed | CordonError::InvalidTarget => OperationError::Unknown,
@@ -150,11 +153,14 @@
     }
 
     fn cordon(&self, target: &str) -> Result<OperationOutcome, OperationError> {
-        self.complete(target, self.core.cordon_engine(target, CordonRequest::Operator, CORDON_ORIGIN))
+        self.complete_cordon_request(
+            target,
+            self.core.cordon_engine(target, CordonRequest::Operator, CORDON_ORIGIN),
+        )
     }
 
     fn uncordon(&self, target: &str) -> Result<OperationOutcome, OperationError> {
-        self.complete(target, self.core.uncordon_engine(target, Cause::Operator))
+        self.complete_cordon_request(target, self.core.uncordon_engine(target, Cause::Operator))
     }
 
     fn on_limit_reached(&self, limit: LimitReached) {
--- a/src/run/certificates/certificate.rs
+++ b/src/run/certificates/certificate.rs
@@ -11,8 +11,9 @@
 use x509_parser::certificate::X509Certificate;
 use x509_parser::extensions::GeneralName;
 
-/// Upper limit of the time before expiry at which a certificate is renewed, as a fraction of its lifetime: a
-/// certificate with a short lifetime must not be due as soon as it is issued.
+/// Upper limit of the time before expiry at which a certificate is renewed, as a fraction of the
+/// certificate's lifetime. Otherwise a certificate with a short lifetime would be due for renewal as soon as
+/// it is issued.
 const MAX_RENEW_BEFORE_FRACTION: f64 = 1.0 / 3.0;
 
 /// A certificate chain and its private key, both PEM.
@@ -66,17 +67,18 @@
         names.iter().all(|name| self.dns_names.contains(name))
     }
 
-    /// Time at which the certificate is due for renewal, in Unix seconds.
+    /// Time at which the certificate is due for renewal, in Unix seconds: `renew_before` ahead of the expiry,
+    /// but not in the first two thirds of its lifetime.
     pub fn renew_at(&self, renew_before: Duration) -> i64 {
         let lifetime = (self.not_after - self.not_before) as f64;
         let max_renew_before = (lifetime * MAX_RENEW_BEFORE_FRACTION) as i64;
         self.not_after - max_renew_before.min(renew_before.as_secs() as i64)
     }
 
-    /// A TLS acceptor that presents this certificate.
+    /// Creates a TLS acceptor that presents this certificate.
     ///
     /// # Errors
-    /// A chain or key that cannot be read, or a key that does not match the chain.
+    /// If the chain or the key cannot be read, or the key does not match the chain.
     pub fn acceptor(&self) -> Result<TlsAcceptor, InvalidCertificate> {
         let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(self.chain.as_bytes()).collect();
         let chain = chain.map_err(InvalidCertificate::Pem)?;
--- a/src/run/certificates/challenge_listener.rs
+++ b/src/run/certificates/challenge_listener.rs
@@ -10,21 +10,21 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// Maximum number of concurrent requests; a further request evicts the oldest. An authority validates from a
-/// few places at once.
+/// Maximum number of concurrent requests; a further request evicts the oldest one. An authority sends
+/// requests from a few places at once.
 pub const MAX_REQUESTS: usize = 16;
 /// Maximum length of a request's head in bytes.
 const MAX_HEAD_BYTES: usize = 4096;
-/// Bytes read from a connection at once.
+/// Maximum number of bytes of one read from a connection.
 const READ_BYTES: usize = 512;
 /// Maximum duration of one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Prefix of the path, which the token of a challenge follows.
+/// Path of a validation request up to the token of the challenge.
 const CHALLENGE_PATH: &str = "/.well-known/acme-challenge/";
 
-/// Responses to open challenges, by token; clones share them.
+/// Responses to open challenges, by token. Clones share the responses.
 #[derive(Clone, Default)]
 pub struct ChallengeResponses(Rc<RefCell<BTreeMap<String, String>>>);
 
@@ -34,7 +34,7 @@
         self.0.borrow_mut().insert(token, response);
     }
 
-    /// Removes all tokens.
+    /// Removes all responses, after an order has ended.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
@@ -56,7 +56,7 @@
                 }
                 let responses = responses.clone();
                 requests.push_back(spawn_local(async move {
-                    // A client whose connection fails or that is too slow gets no response.
+                    // A client that is too slow, or whose connection fails, gets no response.
                     let _ = timeout(REQUEST_TIMEOUT, answer(stream, responses)).await;
                 }));
             }
--- a/src/run/certificates/error.rs
+++ b/src/run/certificates/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Why the maintenance of certificates could not start.
+/// Reason why the maintenance of certificates could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum CertificateError {
     /// The challenge address cannot be listened on.
@@ -15,7 +15,7 @@
     },
 }
 
-/// Why a certificate and its key cannot be used.
+/// Reason why a certificate and its key cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidCertificate {
     /// The chain is not PEM.
@@ -32,7 +32,7 @@
     Tls(#[from] tokio_rustls::rustls::Error),
 }
 
-/// Why the certificate could not be loaded from disk.
+/// Reason why the certificate could not be loaded from disk.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The file cannot be read.
@@ -46,7 +46,7 @@
     Invalid(#[from] InvalidCertificate),
 }
 
-/// Why an order for a certificate failed.
+/// Reason why an order for a certificate failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
     /// The order was not complete in time.
@@ -58,7 +58,7 @@
     /// The account's credentials cannot be serialized as JSON.
     #[error(transparent)]
     AccountFormat(#[from] serde_json::Error),
-    /// The authority failed or rejected a step.
+    /// The authority could not be reached, or it rejected a step of the order.
     #[error(transparent)]
     Authority(#[from] instant_acme::Error),
     /// The authority only offers other types of challenges.
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -30,7 +30,7 @@
 pub const MAX_DESCRIPTORS: usize = 1 + MAX_REQUESTS + 1 + 2 + 1;
 /// Maximum duration of one order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(120);
-/// Minimum pause after a failed order for any configuration: an authority that rejects orders must not be
+/// Minimum pause after a failed order, whatever is configured: an authority that rejects orders must not be
 /// flooded.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Pause before saving a certificate is retried.
@@ -39,7 +39,7 @@
 /// time left until the renewal.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Pauses after failed orders; each is twice as long as the previous one.
+/// Pauses after consecutive failed orders; each pause is twice as long as the previous one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBackoff {
     /// Pause after the first failure.
@@ -53,8 +53,8 @@
 pub struct CertificateConfig {
     /// URL of the authority's directory.
     pub directory: String,
-    /// File with the root certificate that verifies the authority's own certificate; otherwise the system's
-    /// roots do.
+    /// File with the root certificate that verifies the TLS certificate of the authority; without it the root
+    /// certificates of the system are used.
     pub trust_root: Option<PathBuf>,
     /// DNS names that the certificate must cover.
     pub names: Vec<String>,
@@ -64,7 +64,7 @@
     pub challenge_listen: String,
     /// Folder for the account, the key and the certificate; without it each start orders a new certificate.
     pub store: Option<PathBuf>,
-    /// Time before expiry at which a certificate is renewed.
+    /// Time before expiry at which a certificate is renewed, limited to a third of its lifetime.
     pub renew_before: Duration,
     /// Pauses after failed orders.
     pub retry: RetryBackoff,
@@ -149,8 +149,8 @@
     saved.is_ok()
 }
 
-/// Sets the certificate for new sessions; open sessions keep the one that they began with. False if the
-/// certificate is unusable.
+/// Sets the certificate for new sessions; open sessions keep the certificate of their handshake. Returns
+/// false if the certificate is unusable.
 fn install(front: &Front, certificate: &Certificate) -> bool {
     match certificate.acceptor() {
         Ok(acceptor) => {
--- a/src/run/certificates/order.rs
+++ b/src/run/certificates/order.rs
@@ -10,11 +10,11 @@
 };
 use tracing::warn;
 
-/// Orders a certificate for the configured names; the listener serves the challenge responses that this adds
-/// to `responses`.
+/// Orders a certificate for the configured names. The responses to the authority's challenges are added to
+/// `responses`, from which the challenge listener serves them.
 ///
 /// # Errors
-/// The first step that failed.
+/// The error of the first step that failed.
 pub async fn order(
     config: &CertificateConfig,
     responses: &ChallengeResponses,
--- a/src/run/certificates/store.rs
+++ b/src/run/certificates/store.rs
@@ -38,8 +38,8 @@
     write_private(&folder.join(CERTIFICATE_FILE), &text)
 }
 
-/// The account's credentials, if the account belongs to the authority with this directory: another authority
-/// does not know it.
+/// The credentials of the stored account; `None` if there is no account, or it does not belong to the
+/// authority with this directory, since another authority does not know the account.
 pub fn load_account(folder: &Path, directory: &str) -> Option<AccountCredentials> {
     let text = std::fs::read_to_string(folder.join(ACCOUNT_FILE)).ok()?;
     let account: Value = serde_json::from_str(&text).ok()?;
--- a/src/run/cli/error.rs
+++ b/src/run/cli/error.rs
@@ -3,7 +3,7 @@
 use crate::run::error::BoxError;
 use crate::run::logging::LoggingError;
 
-/// Why a command line was rejected.
+/// Reason why a command line was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
     /// The arguments are malformed: an option lacks its value, or an argument is not Unicode.
@@ -14,7 +14,7 @@
     Value {
         /// The option, without its dashes.
         option: String,
-        /// What is wrong with the value.
+        /// Reason why the value is invalid.
         source: ValueError,
     },
     /// No sub-command has this option.
@@ -47,7 +47,7 @@
     Missing {
         /// The sub-command.
         command: &'static str,
-        /// What is absent.
+        /// Description of the absent argument, or the absent option with its dashes.
         what: &'static str,
     },
     /// `explain` needs exactly one of its three queries.
@@ -63,16 +63,16 @@
     },
 }
 
-/// What is wrong with the value of an option.
+/// Reason why the value of an option is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
-    /// The number of replays is out of its range.
+    /// The value is not a number of replays in the allowed range.
     #[error("expected a number from 1 to {max}")]
     ReplayCount {
         /// The highest number allowed.
         max: u32,
     },
-    /// The value has neither form of an instant.
+    /// The value is not an instant in one of the two forms.
     #[error("{0:?} is neither Unix seconds nor +SECONDS")]
     Moment(String),
     /// The value is not a number of seconds, or more than a day.
@@ -87,7 +87,7 @@
     /// A log format or level that does not exist.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// The capture tools do not know the outcome policy or the rule.
+    /// The capture library does not know the outcome policy or the rule.
     #[error(transparent)]
     Capture(BoxError),
 }
--- a/src/run/cli/help.rs
+++ b/src/run/cli/help.rs
@@ -2,7 +2,7 @@
 
 use super::subcommands::{Subcommand, SUBCOMMANDS};
 
-/// The help text of a sub-command; without a known sub-command, that of the program.
+/// The help text of a sub-command; if none is given or the name is unknown, the help text of the program.
 pub fn usage(subcommand: Option<&str>) -> String {
     match subcommand.and_then(Subcommand::by_name) {
         Some(subcommand) => format!("usage: {}\n\n{}", usage_line(subcommand), subcommand.help),
--- a/src/run/cli/options.rs
+++ b/src/run/cli/options.rs
@@ -51,7 +51,7 @@
     },
     /// Print the members in the view of a running manager.
     FleetMembers {
-        /// Address on which the manager's membership listens.
+        /// UDP address on which the manager's membership listens, as the manager logs it.
         address: SocketAddr,
         /// Print JSON lines.
         json: bool,
@@ -67,11 +67,11 @@
 pub struct ServeOptions {
     /// The configuration file; otherwise `EDGE_CONFIG` names it.
     pub config: Option<String>,
-    /// Address to listen on instead of the configuration's.
+    /// Address on which clients connect, instead of the address in the configuration.
     pub listen: Option<String>,
     /// The second front's settings file; without it the second front is off.
     pub operator: Option<String>,
-    /// Folder for the capture; without it and `recorder` nothing is recorded.
+    /// Folder to which a capture is recorded. If both this and `recorder` are absent, nothing is recorded.
     pub capture: Option<String>,
     /// The recorder's settings file (JSON5).
     pub recorder: Option<String>,
@@ -95,7 +95,7 @@
 }
 
 impl Moment {
-    /// Converts to a timestamp, for a capture whose first checkpoint is at `start`.
+    /// Converts the instant to a timestamp, for a capture whose first checkpoint is at `start`.
     pub fn resolve(self, start: Timestamp) -> Timestamp {
         match self {
             Moment::Unix(seconds) => Timestamp::from_secs_f64(seconds),
@@ -109,7 +109,7 @@
 pub enum ExplainQuery {
     /// A request or an engine.
     Subject(Question),
-    /// An instant, to be resolved against the start of the capture.
+    /// An instant, which may be relative to the start of the capture.
     Moment(Moment),
 }
 
@@ -127,17 +127,17 @@
 pub struct ReplayOptions {
     /// The capture: a file or a folder.
     pub capture: PathBuf,
-    /// Number of replays, 1 or more.
+    /// Number of times that the capture is replayed, 1 or more.
     pub times: u32,
-    /// Start with the segment that contains this instant.
+    /// Instant whose segment is the first one to replay; `None` for the first segment.
     pub from: Option<Moment>,
-    /// Stop at this instant.
+    /// Instant at which the replay stops; `None` for the end of the capture.
     pub until: Option<Moment>,
-    /// Count all differences instead of stopping at the first.
+    /// Whether the replay continues after the first difference and counts all differences.
     pub against: bool,
-    /// Settings to change before the replay.
+    /// Settings to change before the replay, in this order.
     pub changes: Vec<SettingChange>,
-    /// How to treat outcomes of decisions that this build did not take.
+    /// Treatment of recorded outcomes that belong to decisions which this build did not take.
     pub outcome_policy: OutcomePolicy,
     /// Print JSON.
     pub json: bool,
--- a/src/run/cli/parser.rs
+++ b/src/run/cli/parser.rs
@@ -12,7 +12,7 @@
 
 /// Highest number of replays that `--times` accepts.
 const MAX_REPLAYS: u32 = 10_000;
-/// Seconds that `capture cut` keeps before and after its instant by default.
+/// Seconds that `capture cut` keeps before and after the given instant by default.
 const DEFAULT_CUT_S: f64 = 2.0;
 /// Longest duration that an option may have, in seconds: a day.
 const MAX_SECONDS: f64 = 86_400.0;
@@ -46,7 +46,7 @@
 struct Arguments {
     /// Positional arguments: the sub-command's name and its arguments.
     positional: Vec<String>,
-    /// Names of the options given.
+    /// Names of the options given, without dashes, in order.
     options: Vec<String>,
     help: bool,
     version: bool,
@@ -245,7 +245,7 @@
     Err(CliError::UnknownCommand(unknown))
 }
 
-/// `help` for the program, a family of sub-commands, or one sub-command.
+/// Builds the command `help` for the program, a family of sub-commands, or one sub-command.
 fn build_help(arguments: &[String]) -> Result<Command, CliError> {
     let name = arguments.join(" ");
     let subcommand = Subcommand::by_name(&name);
@@ -273,7 +273,7 @@
     |error| CliError::Value { option: option.to_owned(), source: error.into() }
 }
 
-/// Does the same as [`invalid`] for values that the capture tools parse.
+/// Converts the error of an invalid value that the capture library parses, adding the option's name.
 fn invalid_for_capture<E: Into<crate::run::error::BoxError>>(
     option: &str,
 ) -> impl FnOnce(E) -> CliError + '_ {
--- a/src/run/cli/tests.rs
+++ b/src/run/cli/tests.rs
@@ -1,4 +1,4 @@
-//! The table of sub-commands, and parsing of arguments.
+//! Tests of the table of sub-commands, and of parsing arguments.
 
 use super::subcommands::SUBCOMMANDS;
 use super::*;
--- a/src/run/commands/capture_reader.rs
+++ b/src/run/commands/capture_reader.rs
@@ -13,7 +13,7 @@
     pub file: PathBuf,
     /// Offset in bytes at which the file cannot be read.
     pub offset: usize,
-    /// What is wrong at the offset.
+    /// Reason why the file cannot be read from the offset on.
     pub reason: String,
 }
 
@@ -54,7 +54,7 @@
         Ok(capture)
     }
 
-    /// Time of the first checkpoint.
+    /// Time of the first checkpoint, to which `+SECONDS` on the command line is relative.
     pub fn start(&self) -> Timestamp {
         self.segments.first().map_or(Timestamp::ZERO, |segment| segment.at)
     }
--- a/src/run/commands/capture_show.rs
+++ b/src/run/commands/capture_show.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Events that the recorder lost after a segment's last record.
+/// Number of events that the recorder lost after the last record of a segment; 0 if it is unknown.
 fn lost_after(end: &SegmentEnd) -> u64 {
     match end {
         SegmentEnd::Closed { lost_events } => *lost_events,
--- a/src/run/commands/error.rs
+++ b/src/run/commands/error.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// A startup file cannot be used.
@@ -24,7 +24,7 @@
     FleetMembers {
         /// Address of the membership.
         address: SocketAddr,
-        /// Why no answer arrived.
+        /// Reason why no answer arrived.
         source: io::Error,
     },
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why a capture cannot be used as requested.
+/// Reason why a capture cannot be used as requested.
 #[derive(Debug, thiserror::Error)]
 pub enum CaptureError {
     /// The capture library rejected the capture or the question; its message names file and reason.
@@ -61,15 +61,15 @@
         file: PathBuf,
         /// Offset in bytes at which the file cannot be read.
         offset: usize,
-        /// What is wrong at the offset.
+        /// Reason why the file cannot be read from the offset on.
         reason: String,
     },
-    /// A file or folder cannot be written, or a case cannot be checked.
+    /// A file or folder cannot be written, or the case in the file cannot be checked.
     #[error("{path}", path = path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why the write or the check failed.
+        /// Reason why the write or the check failed.
         source: BoxError,
     },
 }
--- a/src/run/commands/mod.rs
+++ b/src/run/commands/mod.rs
@@ -28,7 +28,7 @@
 }
 
 impl CommandOutcome {
-    /// [`CommandOutcome::Success`] if the comparison found no difference.
+    /// The outcome of a comparison; `matches` is whether it found no difference.
     fn from_match(matches: bool) -> CommandOutcome {
         match matches {
             true => CommandOutcome::Success,
--- a/src/run/commands/output.rs
+++ b/src/run/commands/output.rs
@@ -9,7 +9,7 @@
 }
 
 /// Formats an instant as Unix seconds with six decimals.
-pub fn format_timestamp(at: Timestamp) -> String {
-    let micros = at.as_micros();
+pub fn format_timestamp(timestamp: Timestamp) -> String {
+    let micros = timestamp.as_micros();
     format!("{}.{:06}", micros.div_euclid(1_000_000), micros.rem_euclid(1_000_000))
 }
--- a/src/run/commands/replay.rs
+++ b/src/run/commands/replay.rs
@@ -11,7 +11,7 @@
 use sprucelink_policy::{Policy, TimeDelta, Timestamp};
 use std::time::Instant;
 
-/// Lower bound in seconds of the duration by which the speed of a replay is computed.
+/// Lower bound, in seconds, of the duration from which the speed of a replay is computed.
 const MIN_DURATION_S: f64 = 1e-9;
 
 /// Replays the segments and prints the result; a replay that diverged is a mismatch.
@@ -54,13 +54,13 @@
     first_divergence: Option<(u64, Divergence)>,
     /// Number of segments that diverged.
     diverged_segments: usize,
-    /// Recorded time that was replayed.
+    /// Sum of the time spans of the segments.
     span: TimeDelta,
     /// Digest of all actions, one per replay.
     digests: Vec<u64>,
     /// Average duration of one replay in seconds.
     duration_s: f64,
-    /// How the build that recorded the first segment differs from this one.
+    /// How the build that recorded the first segment differs from this build; empty unless a replay diverged.
     build_differences: Vec<String>,
 }
 
@@ -70,13 +70,13 @@
         self.digests.iter().all(|digest| *digest == self.digests[0])
     }
 
-    /// Whether all actions were as recorded, in every replay.
+    /// Whether all actions in all replays were as recorded, and no replay panicked.
     fn is_same(&self) -> bool {
         self.total.differing_events == 0 && self.is_repeatable() && self.total.panic.is_none()
     }
 
-    /// Adds the result of a segment in the first replay.
-    fn add(&mut self, segment: &Segment, summary: ReplaySummary) {
+    /// Adds the result of a segment from the first replay.
+    fn add_segment(&mut self, segment: &Segment, summary: ReplaySummary) {
         self.span = self.span + (segment.until() - segment.at);
         self.total.events += summary.events;
         self.total.differing_events += summary.differing_events;
@@ -115,7 +115,7 @@
             let summary = replay_segment(segment, &replay_options, &mut |_| {}).map_err(BoxError::from)?;
             digest = digest.rotate_left(7) ^ summary.digest;
             if repetition == 0 {
-                report.add(segment, summary);
+                report.add_segment(segment, summary);
             }
         }
         report.digests.push(digest);
--- a/src/run/commands/setting_changes.rs
+++ b/src/run/commands/setting_changes.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use sprucelink_policy::Policy;
 
-/// Why settings could not be changed.
+/// Reason why settings could not be changed.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingChangeError {
     /// The current settings cannot be serialized as JSON.
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -11,7 +11,7 @@
 use sprucelink_settings::{Environment, Error, ErrorReason, PlatformConfig, Text, WireClass};
 use std::net::SocketAddr;
 
-/// Limit on file descriptors if the configuration has none.
+/// Limit on the file descriptors of the process if the configuration has none.
 const DEFAULT_SOCKETS: usize = 1024;
 /// Memory limit in megabytes if the configuration has none.
 const DEFAULT_MEMORY_MB: u64 = 192;
@@ -19,22 +19,24 @@
 const MIN_MEMORY_MB: usize = 16;
 /// Buffers of 64 KiB per megabyte of the memory limit: half of the memory.
 const BUFFERS_PER_MB: usize = 8;
-/// Concurrent attempts on one engine connection if the configuration has no limit.
+/// Maximum number of concurrent attempts on one engine connection if the configuration has no limit.
 const DEFAULT_MAX_STREAMS: f64 = 32.0;
 /// Connect timeout of an engine connection in seconds if the configuration has none.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 1.0;
 /// Seconds after which an idle engine connection is closed if the configuration has no timeout.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
-/// Divisor of the limit on descriptors that gives the limit on connections to one engine.
+/// The limit on connections to one engine is the limit on descriptors divided by this, but at least
+/// [`MIN_CONNECTIONS_PER_ENGINE`].
 const CONNECTIONS_PER_ENGINE_DIVISOR: usize = 32;
 /// Lowest limit on the connections to one engine.
 const MIN_CONNECTIONS_PER_ENGINE: usize = 2;
 
-/// The endpoint events in a configuration, which are applied before the control feed is polled.
+/// The events of the control feed in a configuration, which are applied before the feed is polled.
 pub struct KnownEndpoints {
-    /// Sequence number of the last event, after which the control feed is polled.
+    /// Sequence number of the last event; the control feed is polled for the events after it. 0 if there are
+    /// no events.
     pub last_event: u64,
-    /// The events, oldest first.
+    /// The events that change the endpoint list, oldest first.
     pub events: Vec<ListEvent>,
 }
 
@@ -50,9 +52,9 @@
     pub admin_address: Option<SocketAddr>,
     /// Descriptor of the clients' listening socket, if the platform passed one on.
     pub inherited_listener: Option<u32>,
-    /// Endpoint events up to the start.
+    /// Events of the control feed that precede the start of this manager.
     pub known_endpoints: KnownEndpoints,
-    /// Settings of the policy.
+    /// Settings of the policy, converted from the platform's settings.
     pub settings: Settings,
     /// Seed of the random number generators.
     pub seed: u64,
@@ -62,21 +64,23 @@
     pub kind_names: Vec<String>,
     /// File descriptors that the process may hold (`limits.sockets`).
     pub sockets: usize,
-    /// Division of the descriptors among their users.
+    /// Division of `sockets` among the kinds of connections.
     pub descriptors: DescriptorBudget,
-    /// Limits of engine connections.
+    /// Limits and timeouts of the connections to engines.
     pub connection_limits: ConnectionLimits,
-    /// Configuration of the platform's front.
+    /// Limits, classes and tenants of the platform's front.
     pub front: FrontConfig,
-    /// Number of buffers that fit into the memory limit.
+    /// Maximum number of buffers, of 64 KiB each, within the memory limit.
     pub buffers: usize,
 }
 
 impl Config {
-    /// Reserves `count` more descriptors; sessions and engine connections get fewer.
+    /// Reserves `count` more descriptors, and reduces the limits on sessions and engine connections
+    /// accordingly.
     ///
     /// # Errors
-    /// A limit that is too low for the reservation; the error holds the lowest sufficient one.
+    /// If the limit on descriptors is too low for the reservation; the error holds the lowest sufficient
+    /// limit.
     pub fn reserve_descriptors(&mut self, count: usize) -> Result<(), TooFewDescriptors> {
         self.descriptors = DescriptorBudget::divide(self.sockets, self.descriptors.reserved + count)?;
         self.connection_limits.max_total = self.descriptors.engine_connections;
@@ -85,8 +89,8 @@
     }
 }
 
-/// Reads a configuration. The environment supplies the inherited socket, and the admin address if the text
-/// has none.
+/// Parses the text of a configuration. The environment supplies the inherited socket, and the admin address
+/// if the text has none.
 ///
 /// # Errors
 /// The first invalid field, with its line, column and path.
@@ -129,7 +133,7 @@
     texts.iter().filter(|text| !text.0.is_empty()).map(|text| text.0.clone()).collect()
 }
 
-/// Number of buffers for a memory limit in megabytes.
+/// Maximum number of buffers for a memory limit in megabytes.
 fn buffer_count(memory_mb: Option<u64>) -> Result<usize, Error> {
     if memory_mb == Some(0) {
         return Err(Error::at_path("limits.memory_mb", ErrorReason::NoMemory));
--- a/src/run/config/tests.rs
+++ b/src/run/config/tests.rs
@@ -1,4 +1,4 @@
-//! Conversion of a configuration: defaults, bounds, and the location of an invalid field in the error.
+//! Tests of converting a configuration: defaults, bounds, and the location of an invalid field in the error.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn absent_fields_take_the_defaults() {
+fn absent_fields_get_defaults() {
     let config = parse_valid("", &Environment::default());
     let limits = config.connection_limits;
     assert_eq!(
@@ -89,7 +89,8 @@
     }
 }
 
-/// Guards against a second front whose connections are not counted: the process would exceed its limit.
+/// Guards against a second front whose connections are not counted: the process would exceed its limit on
+/// descriptors.
 #[test]
 fn reserved_descriptors_are_taken_from_sessions_and_engine_connections() {
     let mut config = parse_valid("", &Environment::default());
--- a/src/run/descriptor_budget.rs
+++ b/src/run/descriptor_budget.rs
@@ -4,29 +4,33 @@
 /// the runtime (poll, waker, signals), the clients' listener, the membership's socket, the connection to the
 /// control feed, and three files: a configuration that is reloaded, a capture, the hot restart's state.
 const OWN_DESCRIPTORS: usize = 16;
-/// Sixteenths of the shared descriptors that sessions may hold; engine connections get the rest.
+/// Number of sixteenths of the shared descriptors that sessions may hold; engine connections get the rest.
 const SESSION_SIXTEENTHS: usize = 10;
-/// Divisor of the limit that gives the connections without a session slot.
+/// The limit on connections without a session slot is the limit on descriptors divided by this, but at least
+/// [`MIN_HANDSHAKES`] and at most [`MAX_HANDSHAKES`].
 const HANDSHAKES_DIVISOR: usize = 16;
 /// Lowest limit on connections without a session slot.
 const MIN_HANDSHAKES: usize = 4;
 /// Highest limit on connections without a session slot.
 const MAX_HANDSHAKES: usize = 24;
-/// Divisor of the limit that gives the descriptors for draining sessions.
+/// The limit on draining sessions is the limit on descriptors divided by this, but at least [`MIN_DRAINING`]
+/// and at most [`MAX_DRAINING`].
 const DRAINING_DIVISOR: usize = 64;
-/// Lowest number of descriptors for draining sessions.
+/// Lowest limit on draining sessions: evicted sessions that still complete a request or message.
 const MIN_DRAINING: usize = 2;
-/// Highest number of descriptors for draining sessions.
+/// Highest limit on draining sessions.
 const MAX_DRAINING: usize = 8;
-/// Lowest number of shared descriptors that is enough to serve: five sessions and three engine connections.
+/// Lowest number of shared descriptors with which clients can be served: five sessions and three engine
+/// connections.
 const MIN_SHARED: usize = 8;
 
-/// A division of the descriptors. The bounds together never exceed the limit:
+/// A division of the descriptors into bounds for each kind of connection. The sum of the bounds never exceeds
+/// the limit:
 ///
 /// `OWN_DESCRIPTORS + reserved + handshakes + draining + sessions + engine_connections <= limit`
 ///
-/// Of the descriptors that the first four leave, sessions get ten sixteenths and engine connections six, each
-/// rounded down.
+/// The descriptors that remain after the first four terms are shared: sessions get ten sixteenths and engine
+/// connections six sixteenths, each rounded down.
 ///
 /// | limit | own | reserved (admin) | handshakes | draining | sessions | engine connections | total |
 /// | --- | --- | --- | --- | --- | --- | --- | --- |
@@ -40,27 +44,27 @@
     /// Descriptors for other uses than the platform's front and engine connections: the admin listener, the
     /// second front.
     pub reserved: usize,
-    /// Client connections without a session slot.
+    /// Maximum number of client connections without a session slot.
     pub handshakes: usize,
-    /// Sessions that were evicted and still complete what they had begun.
+    /// Maximum number of evicted sessions that still complete a request or message.
     pub draining: usize,
-    /// Sessions with a slot.
+    /// Maximum number of sessions that have a slot and are not evicted.
     pub sessions: usize,
-    /// Connections to engines.
+    /// Maximum number of connections to engines.
     pub engine_connections: usize,
 }
 
-/// A limit on descriptors that is too low.
+/// Error for a limit on descriptors that is too low to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{limit} descriptors are too few: {sufficient} are needed at least")]
 pub struct TooFewDescriptors {
     /// The configured limit.
     pub limit: usize,
-    /// The lowest sufficient limit.
+    /// The lowest limit that would be sufficient.
     pub sufficient: usize,
 }
 
-/// Descriptors set aside before sessions and engine connections share the rest.
+/// Descriptors that are set aside, and the rest that sessions and engine connections share.
 struct FixedPart {
     handshakes: usize,
     draining: usize,
@@ -71,7 +75,7 @@
     /// Divides `limit` descriptors, `reserved` of which are set aside for [`DescriptorBudget::reserved`].
     ///
     /// # Errors
-    /// A limit that leaves too few descriptors to serve.
+    /// If the limit leaves fewer shared descriptors than are needed to serve.
     pub fn divide(limit: usize, reserved: usize) -> Result<DescriptorBudget, TooFewDescriptors> {
         let Some(FixedPart { handshakes, draining, shared }) = FixedPart::compute(limit, reserved) else {
             let sufficient = (limit..).find(|limit| FixedPart::compute(*limit, reserved).is_some());
@@ -84,7 +88,7 @@
 }
 
 impl FixedPart {
-    /// The fixed part of a limit; `None` if it leaves too few descriptors to share.
+    /// Computes the fixed part of a limit; `None` if the rest would be too few descriptors to share.
     fn compute(limit: usize, reserved: usize) -> Option<FixedPart> {
         let handshakes = (limit / HANDSHAKES_DIVISOR).clamp(MIN_HANDSHAKES, MAX_HANDSHAKES);
         let draining = (limit / DRAINING_DIVISOR).clamp(MIN_DRAINING, MAX_DRAINING);
--- a/src/run/descriptor_budget/tests.rs
+++ b/src/run/descriptor_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The division of descriptors at every limit.
+//! Tests of the division of descriptors at every limit.
 
 use super::*;
 use crate::run::admin;
@@ -12,7 +12,8 @@
         + budget.engine_connections
 }
 
-/// Guards against one user taking descriptors that another depends on: clients could take the control feed's.
+/// Guards against bounds that exceed the limit together: connections of one kind could then take the
+/// descriptors of another kind, such as clients the descriptor of the control feed's connection.
 #[test]
 fn budget_never_exceeds_the_limit() {
     for limit in (0..=2_048).chain([4_096, 65_536, 1 << 40]) {
--- a/src/run/error.rs
+++ b/src/run/error.rs
@@ -2,7 +2,7 @@
 
 use std::error::Error;
 
-/// An error of another crate, kept as the cause of an error of this one.
+/// An error of another crate, stored as the cause of an error of this crate.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// The message of an error followed by those of its causes, joined by `": "`.
--- a/src/run/error/tests.rs
+++ b/src/run/error/tests.rs
@@ -1,4 +1,4 @@
-//! Messages of errors with their causes.
+//! Tests of error messages with their causes.
 
 use super::*;
 use std::io;
--- a/src/run/hot_restart_driver.rs
+++ b/src/run/hot_restart_driver.rs
@@ -21,8 +21,8 @@
 use tokio::time::sleep;
 use tracing::{debug, error, info, warn, Level};
 
-/// Maximum number of engine id hashes in a state file, so that the cordons always fit into the file.
-const MAX_ENGINE_IDS: usize = 16_384;
+/// Maximum number of hashes of engine ids in a state file, so that there is always room for the cordons.
+const MAX_ENGINE_ID_HASHES: usize = 16_384;
 
 /// File with an id that changes with each start of the machine.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
@@ -32,11 +32,11 @@
 struct BudgetParts {
     /// Number of processes that share the budgets.
     parts: u32,
-    /// Time since which fewer parts would be enough; `None` if the current number is needed.
+    /// Time since which the phase has required fewer parts; `None` if it requires the current number.
     fewer_since: Option<Timestamp>,
 }
 
-/// The state in the last log line about the phase.
+/// State that the last log line about the phase reported; an unchanged state is not logged again.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LoggedState {
     phase: Phase,
@@ -44,16 +44,17 @@
     is_unacknowledged: bool,
 }
 
-/// Why the state file is written; determines the log level of a failure.
+/// Reason for writing the state file; it determines the log level of a failure.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteReason {
-    /// The periodic refresh; a failed write is soon repeated.
+    /// The periodic refresh, which repeats a failed write soon.
     Refresh,
-    /// An operator's cordon; its response waits for the write.
+    /// A change of the cordons by an operator; the response waits for the write.
     Cordon,
 }
 
-/// The clock of this process; `None` if the boot id of the machine cannot be read.
+/// Relation of this process's clock to the machine's monotonic clock, by which other processes convert the
+/// times in its state file; `None` if the boot id of the machine cannot be read.
 fn clock_reference() -> Option<ClockReference> {
     let boot_id = std::fs::read_to_string(BOOT_ID_FILE).ok()?.trim().to_owned();
     Some(ClockReference { boot_id, offset: machine_clock_offset() })
@@ -63,7 +64,7 @@
 pub struct HotRestartDriver {
     core: Rc<Core>,
     state_files: RefCell<StateFileDriver<DiskFolder>>,
-    /// Windows over which the budgets count.
+    /// Lengths of the windows in which the retry budget and the slow-start budgets count.
     windows: WindowSpans,
     is_ready: Cell<bool>,
     is_stopping: Cell<bool>,
@@ -77,8 +78,9 @@
 }
 
 impl HotRestartDriver {
-    /// Merges the state of earlier processes; call it before serving begins. `name` and `listen` distinguish
-    /// this manager from others that share the folder.
+    /// Creates the driver and merges the state files of earlier processes into the core. Must be called
+    /// before serving begins. `name` and `listen` distinguish this manager from other managers that share the
+    /// folder.
     pub fn start(core: Rc<Core>, name: &str, listen: &str, windows: WindowSpans) -> Rc<HotRestartDriver> {
         let instance = Instance { name: name.to_owned(), listen: listen.to_owned() };
         let pid = std::process::id();
@@ -110,7 +112,7 @@
         self.step_requested.notify_one();
     }
 
-    /// Begins the phases that end this process; called at SIGTERM.
+    /// Starts the phases that end this process; called at SIGTERM.
     pub fn begin_stop(&self) {
         self.is_stopping.set(true);
         self.step_requested.notify_one();
@@ -121,10 +123,10 @@
         self.state_files.borrow().is_healthy()
     }
 
-    /// Writes the cordons to the state file, before the operator's call is answered.
+    /// Writes the cordons to the state file. Must be called before the response to the operator's request.
     ///
     /// # Errors
-    /// A state file that could not be written: the cordon is in effect in this process only.
+    /// If the state file could not be written: the change of the cordons is in effect in this process only.
     pub fn record_cordons(&self) -> Result<(), WriteError> {
         self.write(WriteReason::Cordon)
     }
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Writes the last state file, before the process exits.
+    /// Writes the last version of the state file, which announces the termination of this process.
     pub fn leave(&self) {
         let snapshot = self.snapshot();
         if let Err(error) = self.state_files.borrow_mut().write_last(now(), snapshot) {
@@ -165,7 +167,7 @@
             front.drain_sessions(idle);
         }
         if self.state_files.borrow().is_write_due(now()) {
-            // `write` logs a failure, and the next refresh writes again.
+            // `write` logs a failure, and the next refresh repeats the write.
             let _ = self.write(WriteReason::Refresh);
         }
     }
@@ -225,8 +227,8 @@
     }
 
     /// Sets in the core the number of processes that share the manager's budgets. An increase takes effect at
-    /// once, a decrease only after the slow-start window, since the requests of the other process still count
-    /// in it.
+    /// once, a decrease only after the slow-start window, in which the requests of the other process still
+    /// count.
     fn divide_budgets(&self, parts: u32) {
         let current = self.budget_parts.get();
         let applies = match (parts.cmp(&current.parts), current.fewer_since) {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Logs other processes that stopped writing without announcing their termination.
+    /// Logs other processes that stopped writing their state files without announcing their termination.
     fn log_unresponsive(&self) {
         let peers = self.state_files.borrow().live_peers(now());
         let live: BTreeSet<u32> = peers.iter().map(|peer| peer.process.pid).collect();
@@ -274,7 +276,7 @@
     }
 
     fn snapshot(&self) -> StateSnapshot {
-        let (cordons, known_ids) = self.core.export_cordons(MAX_ENGINE_IDS);
+        let (cordons, known_ids) = self.core.export_cordons(MAX_ENGINE_ID_HASHES);
         // Nothing is counted in these counters yet, so the counts of retries and of work for engines in slow
         // start in a state file are always 0. A reader of the file logs its retries and `warmup_sends`, and
         // uses neither.
--- a/src/run/listen.rs
+++ b/src/run/listen.rs
@@ -12,11 +12,11 @@
 /// Pause between two attempts to bind.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listens on an address. Transient failures are retried: no descriptor is free, or the address is still in
+/// Listens on an address. A failure is retried if no descriptor is free, or the address is still in
 /// use by a predecessor that is about to exit.
 ///
 /// # Errors
-/// An address that cannot be bound within [`LISTEN_PERIOD`].
+/// If the address cannot be bound within [`LISTEN_PERIOD`]; the error is that of the last attempt.
 pub async fn listen(address: &str) -> io::Result<TcpListener> {
     let deadline = Instant::now() + LISTEN_PERIOD;
     loop {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Whether a later attempt may succeed.
+/// Whether a later attempt to bind may succeed.
 fn is_transient(error: &io::Error) -> bool {
     is_out_of_resources(error)
         || matches!(error.kind(), io::ErrorKind::AddrInUse | io::ErrorKind::Interrupted)
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -10,7 +10,7 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// An invalid log setting.
+/// Error for an invalid log setting.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoggingError {
     /// The format is neither `text` nor `json`.
@@ -66,7 +66,7 @@
     text.parse().map_err(|_| LoggingError::Level(text.to_owned()))
 }
 
-/// Unix time in seconds with milliseconds, on the clock that the policy uses.
+/// Writes the Unix time in seconds with three decimals, from the clock that the policy uses.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The text format: time, message and fields.
+/// Formatter of the text format: time, message and fields.
 struct TextFormat;
 
 /// The field that holds an event's message. The macros of `tracing` put it before all others.
@@ -85,7 +85,7 @@
 /// Writes the message of an event unchanged, and each other field as ` key=value`.
 struct FieldWriter<'a, 'w> {
     writer: &'a mut Writer<'w>,
-    /// The first failed write, after which nothing is written.
+    /// Result of the writes so far; nothing is written after the first error.
     result: fmt::Result,
 }
 
@@ -106,7 +106,8 @@
     }
 }
 
-/// Whether a value needs no quotes: splitting the line at spaces and `=` leaves it in one piece.
+/// Whether a value needs no quotes: a reader that splits the line at spaces and `=` gets the value in one
+/// piece.
 fn is_plain(value: &str) -> bool {
     let needs_quotes = |c: char| c.is_whitespace() || c.is_control() || matches!(c, '"' | '=');
     !value.is_empty() && !value.contains(needs_quotes)
@@ -143,21 +144,24 @@
 /// Starts logging for the lifetime of the process. A dedicated thread writes the lines. A second call has no
 /// effect on the format or level.
 pub fn start(logging: Logging) -> LogFlush {
-    let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_WAITING_LINES).lossy(true);
-    let (writer, guard) = builder.thread_name("log-writer").finish(std::io::stdout());
+    let writer_builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_WAITING_LINES).lossy(true);
+    let (writer, guard) = writer_builder.thread_name("log-writer").finish(std::io::stdout());
     // By default the library reports a line that it cannot write on standard error, and panics if that fails
     // too: with both streams on a full disk, or with their readers closed, the next line would end the
     // process.
-    let builder = tracing_subscriber::fmt()
+    let subscriber_builder = tracing_subscriber::fmt()
         .with_max_level(logging.level)
         .with_writer(writer)
         .log_internal_errors(false);
     // An error means that logging was started before; it continues unchanged.
     let _ = match logging.format {
-        Format::Text => builder.event_format(TextFormat).try_init(),
-        Format::Json => {
-            builder.json().with_timer(UnixTime).flatten_event(true).with_current_span(false).try_init()
-        }
+        Format::Text => subscriber_builder.event_format(TextFormat).try_init(),
+        Format::Json => subscriber_builder
+            .json()
+            .with_timer(UnixTime)
+            .flatten_event(true)
+            .with_current_span(false)
+            .try_init(),
     };
     LogFlush(guard)
 }
--- a/src/run/logging/tests.rs
+++ b/src/run/logging/tests.rs
@@ -1,4 +1,4 @@
-//! Lines in the text format.
+//! Tests of log lines in the text format.
 
 use super::TextFormat;
 use std::io::{self, Write};
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -1,5 +1,7 @@
 //! Drives the membership: connects the SWIM state machine of `sprucelink_membership` to a UDP socket and the
-//! clock, and exchanges summaries and budgets between it and the core. The state machine makes all decisions.
+//! clock. The state machine makes all decisions. The driver also passes gossip payloads (the requests,
+//! retries, unreachable engines and slow-start work that a manager reports to the others) between the state
+//! machine and the core, and sets in the core this manager's part of the fleet's budgets.
 
 use crate::core::zone_routing::Observer;
 use crate::core::{now, to_duration, Core, GossipWindows};
@@ -23,20 +25,20 @@
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
 /// Shortest pause between two ticks of the state machine.
 const MIN_PAUSE: Duration = Duration::from_millis(2);
-/// Window of the shared counts if no retry budget is configured.
+/// Window in which requests and retries are counted for the gossip payload if no retry budget is configured.
 const DEFAULT_BUDGET_WINDOW: TimeDelta = TimeDelta::from_secs(5);
-/// Interval between two log lines of counters.
+/// Interval between two log lines with the counters of the membership.
 const COUNTERS_INTERVAL: TimeDelta = TimeDelta::from_secs(60);
-/// Number of members above which summaries are sent less often.
+/// Number of live members above which gossip payloads are published less often.
 const LARGE_FLEET: usize = 100;
-/// Milliseconds that each member above [`LARGE_FLEET`] adds to the interval between summaries.
+/// Milliseconds that each member above [`LARGE_FLEET`] adds to the interval between two gossip payloads.
 const EXTRA_MS_PER_MEMBER: f64 = 10.0;
-/// Maximum number of invalid datagrams logged between two log lines of counters.
+/// Maximum number of invalid datagrams that are logged within [`COUNTERS_INTERVAL`].
 const MAX_INVALID_DATAGRAM_LINES: u32 = 10;
-/// How long the shutdown waits for the departure to be sent.
+/// How long the shutdown waits for the departure messages to be sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Settings of the deployment by which the members divide budgets.
+/// Settings by which the managers of the fleet divide their budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
     /// Configured number of managers.
@@ -49,7 +51,7 @@
     pub slow_start_duration: TimeDelta,
 }
 
-/// Why the membership could not start.
+/// Reason why the membership could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipStartError {
     /// The listen address cannot be bound.
@@ -68,7 +70,7 @@
 /// Binds the socket and starts the task that drives the membership, on the current `LocalSet`.
 ///
 /// # Errors
-/// An address that cannot be bound.
+/// If the configured address cannot be bound.
 pub async fn start(
     core: Rc<Core>,
     settings: MembershipConfig,
@@ -99,7 +101,7 @@
         fleet,
         swim,
         socket,
-        next_summary: now(),
+        next_payload: now(),
         next_counters: now() + COUNTERS_INTERVAL,
         invalid_datagram_lines: 0,
         applied_budgets: None,
@@ -108,7 +110,7 @@
     Ok(MembershipHandle { leave, task })
 }
 
-/// This manager as a member; if no name is configured, its address serves as its name.
+/// This manager as a member. If no name is configured, the address serves as the name.
 fn local_member(settings: &MembershipConfig, manager_name: &str, address: SocketAddr) -> LocalMember {
     let name = match manager_name.is_empty() {
         true => address.to_string(),
@@ -119,7 +121,7 @@
     LocalMember { name, generation, address, zone: settings.zone.clone(), region: settings.region.clone() }
 }
 
-/// A running membership.
+/// Handle of a running membership, by which it is stopped.
 pub struct MembershipHandle {
     leave: oneshot::Sender<()>,
     task: JoinHandle<()>,
@@ -135,7 +137,7 @@
     }
 }
 
-/// The budgets last set in the core.
+/// The budgets that were last set in the core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct AppliedBudgets {
     managers: u32,
@@ -148,9 +150,9 @@
     fleet: FleetSettings,
     swim: SwimNode,
     socket: UdpSocket,
-    next_summary: Timestamp,
+    next_payload: Timestamp,
     next_counters: Timestamp,
-    /// Log lines about invalid datagrams since the last log line of counters.
+    /// Number of log lines about invalid datagrams since the last log line of counters.
     invalid_datagram_lines: u32,
     applied_budgets: Option<AppliedBudgets>,
 }
@@ -159,8 +161,8 @@
     async fn run(mut self, mut leave_requested: oneshot::Receiver<()>) {
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.swim.next_deadline().min(self.next_summary);
-            let pause = to_duration(due - now()).max(MIN_PAUSE);
+            let next_due = self.swim.next_deadline().min(self.next_payload);
+            let pause = to_duration(next_due - now()).max(MIN_PAUSE);
             tokio::select! {
                 () = sleep(pause) => {}
                 received = self.socket.recv_from(&mut buffer) => self.receive(received, &mut buffer),
@@ -171,7 +173,7 @@
                 }
             }
             self.swim.tick(now());
-            self.exchange_summaries();
+            self.exchange_payloads();
             self.send().await;
             self.log_changes();
             self.log_counters();
@@ -211,15 +213,16 @@
         }
     }
 
-    /// Publishes this manager's summary, and passes the summaries of the other members to the core.
-    fn exchange_summaries(&mut self) {
-        if now() < self.next_summary {
+    /// Publishes this manager's gossip payload, and passes the payloads of the other members to the core, if
+    /// the interval has passed.
+    fn exchange_payloads(&mut self) {
+        if now() < self.next_payload {
             return;
         }
         let members = self.swim.live_count();
         let extra_ms = EXTRA_MS_PER_MEMBER * members.saturating_sub(LARGE_FLEET) as f64;
         let interval_ms = self.settings.share.payload_interval_ms + extra_ms;
-        self.next_summary = now() + TimeDelta::from_secs_f64(interval_ms / 1e3);
+        self.next_payload = now() + TimeDelta::from_secs_f64(interval_ms / 1e3);
         if let Some(payload) = self.core.gossip_payload() {
             self.swim.set_payload(payload);
         }
@@ -250,7 +253,8 @@
         }
     }
 
-    /// Retries that the other members leave unused and this manager may use; 0 if budgets are not pooled.
+    /// Number of retries that the other members leave unused and this manager may make; 0 if budgets are not
+    /// pooled.
     fn spare_retries(&self, members: usize) -> f64 {
         let Some(budget) = self.fleet.retry_budget.filter(|_| self.settings.share.pool_retry_budgets) else {
             return 0.0;
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -8,9 +8,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Maximum number of sessions if the file has none.
+/// Maximum number of sessions of the second front if the file has no `max_sessions`.
 const DEFAULT_MAX_SESSIONS: usize = 64;
-/// Divisor of the platform front's sessions that bounds the default number of the second front's.
+/// Without `max_sessions` in the file, the second front's maximum number of sessions is also at most that of
+/// the platform's front divided by this.
 const SESSIONS_DIVISOR: usize = 4;
 /// Highest value of `max_sessions` in the file.
 const MAX_SESSIONS: u64 = 256;
@@ -20,11 +21,11 @@
 const MAX_DRAINING: usize = 2;
 /// Seconds before expiry at which a certificate is renewed if the file has no value: 30 days.
 const DEFAULT_RENEW_BEFORE_S: f64 = 30.0 * 86_400.0;
-/// Seconds of the first pause after a failed order if the file has no value.
+/// Seconds from a failed order of a certificate to the first retry if the file has no value.
 const DEFAULT_FIRST_RETRY_S: f64 = 60.0;
-/// Seconds of the longest pause after failed orders if the file has no value.
+/// Seconds of the longest pause between two orders of a certificate if the file has no value.
 const DEFAULT_MAX_RETRY_S: f64 = 3_600.0;
-/// Longest duration in the file, in seconds: a leap year.
+/// Longest duration that the file may set, in seconds: a leap year.
 const MAX_SECONDS: f64 = 366.0 * 86_400.0;
 /// Fields of the file.
 const FIELDS: [&str; 6] = ["listen", "max_sessions", "default_class", "default_tenant", "tls", "acme"];
@@ -39,7 +40,7 @@
     pub listen: String,
     /// Limits, defaults and TLS mode of the front; classes and tenants are the platform's.
     pub front: FrontConfig,
-    /// Source of the certificates; without it there is no TLS.
+    /// How certificates are obtained; without it the second front has no TLS.
     pub certificates: Option<CertificateConfig>,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// Why an operator's file is invalid.
+/// Reason why an operator's file is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SecondFrontError {
     /// The text is not JSON.
@@ -63,7 +64,7 @@
     Field {
         /// The field's path.
         field: String,
-        /// What is wrong with it.
+        /// Reason why the field is invalid.
         reason: FieldError,
     },
     /// The limit on descriptors is too low for the second front.
@@ -79,13 +80,13 @@
     },
 }
 
-/// What is wrong with a field.
+/// Reason why a field is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
     /// The field is absent or not a string.
     #[error("missing")]
     Missing,
-    /// The file's format has no such field.
+    /// The format of the file has no field of this name.
     #[error("is not known")]
     Unknown,
     /// An object is expected.
@@ -97,10 +98,10 @@
     /// The configuration has no class or tenant of this name.
     #[error("names none that is configured")]
     NotConfigured,
-    /// The number of sessions is out of its range.
+    /// The number of sessions is not a whole number in its range.
     #[error("is no number from 1 to {MAX_SESSIONS}")]
     SessionCount,
-    /// A duration is out of its range.
+    /// A duration is not a number of seconds from 0 to a leap year.
     #[error("is not a number of seconds from 0 to a leap year")]
     Seconds,
     /// The TLS mode is unknown, or it is `required` without certificates.
@@ -209,7 +210,8 @@
         }
     }
 
-    /// The name in a field, which the configuration must have; `None` if the field is absent.
+    /// The class or tenant that a field names, for which `is_configured` must be true; `None` if the field is
+    /// absent.
     fn configured_name(
         &self,
         field: &str,
--- a/src/run/serve/error.rs
+++ b/src/run/serve/error.rs
@@ -7,7 +7,7 @@
 use crate::run::membership_driver::MembershipStartError;
 use std::io;
 
-/// Why the server could not start, or had to stop while serving.
+/// Reason why the server could not start, or had to stop while serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The async runtime could not be built.
--- a/src/run/serve/fronts.rs
+++ b/src/run/serve/fronts.rs
@@ -39,11 +39,11 @@
     }
 }
 
-/// A front that accepts connections.
+/// A front with the task that accepts its connections.
 pub struct OpenFront {
-    /// Serves the connections, and stops accepting at [`OpenFront::close`].
+    /// The front, which serves the connections.
     pub front: Rc<Front>,
-    /// The task that accepts its connections.
+    /// The task that accepts the front's connections; it ends after [`OpenFront::close`].
     pub accept_task: JoinHandle<()>,
 }
 
@@ -66,7 +66,7 @@
         Ok(OpenFront { front, accept_task })
     }
 
-    /// Whether a request is open or a connection is being closed.
+    /// Whether the front has an open request or a connection that is being closed.
     pub fn is_busy(&self) -> bool {
         self.front.open_requests() > 0 || self.front.closing_connections() > 0
     }
--- a/src/run/serve/mod.rs
+++ b/src/run/serve/mod.rs
@@ -25,7 +25,7 @@
 
 /// The configuration and the optional settings files, as read at startup.
 pub struct ServerConfig {
-    /// The platform's configuration.
+    /// The platform's configuration, with the descriptors of the second front reserved.
     pub config: Config,
     /// Address of the admin listener; `None` disables it.
     pub admin_address: Option<String>,
@@ -35,11 +35,11 @@
     pub second_front: Option<SecondFrontConfig>,
     /// Settings of the capture recorder; `None` disables recording.
     pub recorder: Option<RecorderSettings>,
-    /// Startup pacing; off if absent or not enabled.
+    /// Settings of startup pacing, which is off if they are absent or not enabled.
     pub startup: Option<StartupConfig>,
-    /// Gossip between managers; off if absent or not enabled.
+    /// Settings of the membership, by which managers gossip; it is off if they are absent or not enabled.
     pub membership: Option<MembershipConfig>,
-    /// Failover between zones; off if absent or not enabled.
+    /// Settings of failover between zones, which is off if they are absent or not enabled.
     pub failover: Option<FailoverConfig>,
 }
 
@@ -56,7 +56,7 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ServeError::Runtime)?;
     let result = LocalSet::new().block_on(&runtime, run(config, options, read_config));
-    // A blocking thread that still reads a file must not delay the exit.
+    // A blocking thread that is still reading a file must not delay the exit.
     runtime.shutdown_background();
     result
 }
@@ -66,7 +66,7 @@
     options: ServeOptions,
     read_config: ConfigReader,
 ) -> Result<(), ServeError> {
-    // Before the first await: a signal without a handler would end the process.
+    // The handlers are registered before the first await: a signal without a handler would end the process.
     let hangup = register_signal(SignalKind::hangup())?;
     let mut terminate = register_signal(SignalKind::terminate())?;
     let mut interrupt = register_signal(SignalKind::interrupt())?;
--- a/src/run/serve/reload.rs
+++ b/src/run/serve/reload.rs
@@ -19,7 +19,7 @@
 /// Function that reads the configuration that the options name; it may block.
 pub type ConfigReader = fn(&ServeOptions) -> Result<Config, StartupFileError>;
 
-/// Why the configuration could not be reloaded.
+/// Reason why the configuration could not be reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The file could not be read or is invalid.
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Reads the file until it is readable and valid, for [`RETRY_PERIOD`] at most: it may still be being
-    /// written, or fail to open for a moment, and no second signal announces that it is complete.
+    /// Reads the file repeatedly until it is readable and valid, for [`RETRY_PERIOD`] at most. Another
+    /// program may still be writing it, or it may fail to open for a moment, and no second signal announces
+    /// that it is complete.
     async fn reload(&mut self, feed_address: &watch::Sender<Option<String>>) {
         let mut deadline = Instant::now() + RETRY_PERIOD;
         let mut was_logged = false;
@@ -90,7 +91,7 @@
     async fn read_feed_address(&self) -> Result<String, ReloadError> {
         let options = self.options.clone();
         let read_config = self.read_config;
-        // On a blocking thread: a slow file system must not delay requests.
+        // The file is read on a blocking thread: a slow file system must not delay requests.
         let read = spawn_blocking(move || read_config(&options)).await;
         let config = read.map_err(|_| ReloadError::ReaderFailed)??;
         let address = config.feed.ok_or(ReloadError::FeedMissing)?;
@@ -102,7 +103,7 @@
     }
 }
 
-/// Stores the new address; true if it differs from the current one.
+/// Stores the new address; returns whether it differs from the previous one.
 fn replace_address(current: &mut Option<String>, address: String) -> bool {
     let changed = current.as_ref() != Some(&address);
     *current = Some(address);
--- a/src/run/serve/shutdown.rs
+++ b/src/run/serve/shutdown.rs
@@ -13,10 +13,11 @@
 /// Maximum wait after [`ACCEPT_PERIOD`] for open requests to reach their deadlines; SIGKILL is not expected
 /// before both have passed.
 const MAX_DEADLINE_WAIT: Duration = Duration::from_secs(3);
-/// [`MAX_DEADLINE_WAIT`] if another process shares the listening socket (a hot restart).
+/// Value of [`MAX_DEADLINE_WAIT`] for a process that shares the listening socket with another (a hot
+/// restart).
 const MAX_DEADLINE_WAIT_AT_HOT_RESTART: Duration = Duration::from_secs(5);
-/// Time before the end at which every open request gets its final response: SIGKILL would leave the remaining
-/// requests without one, and a slow process needs time to write the responses.
+/// Time before the end of the shutdown at which every open request gets its final response. SIGKILL would
+/// leave the remaining requests without a response, and a slow process needs time to write the responses.
 const ANSWER_MARGIN: Duration = Duration::from_millis(250);
 /// Interval between two checks of whether all requests have their responses.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -25,7 +26,7 @@
 /// until its first request is read.
 const IDLE_CHECKS: u32 = 5;
 
-/// Instants of a shutdown, and the wait that they are computed from.
+/// Instants of a shutdown, and the wait from which they are computed.
 #[derive(Clone, Copy)]
 struct Schedule {
     /// The longest configured request deadline, limited by the maximum wait.
@@ -60,7 +61,7 @@
         hot_restart.begin_stop();
     }
     let schedule = Schedule::new(server.longest_deadline, server.hot_restart.is_some());
-    // From this deadline on no request is forwarded. Requests that arrive before it get it as their deadline.
+    // From this deadline on no request is forwarded. Until then it limits the deadlines of all requests.
     server.core.set_shutdown_deadline(now() + schedule.answer_period());
     sleep(ACCEPT_PERIOD).await;
     // If this process was not scheduled meanwhile, the timer may fire before the sockets are polled.
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -30,7 +30,7 @@
 pub struct Server {
     /// Owns requests, attempts and engines.
     pub core: Rc<Core>,
-    /// The task that drives the core's clock; it ends only on a fault.
+    /// The task that drives the core's clock; it ends only by a fault of the program.
     pub core_task: JoinHandle<()>,
     /// Gossip between managers, if enabled.
     pub membership: Option<MembershipHandle>,
@@ -38,7 +38,8 @@
     pub hot_restart: Option<Rc<HotRestartDriver>>,
     /// The platform's front, then the second front if it is enabled.
     pub fronts: Vec<OpenFront>,
-    /// The longest deadline of all request classes.
+    /// The longest deadline of all request classes, which bounds how long the shutdown waits for open
+    /// requests.
     pub longest_deadline: TimeDelta,
 }
 
--- a/src/run/socket_activation.rs
+++ b/src/run/socket_activation.rs
@@ -8,13 +8,13 @@
 /// The first descriptor that is not a standard stream.
 const FIRST_DESCRIPTOR: u32 = 3;
 
-/// Why the inherited listening socket cannot be used.
+/// Reason why the inherited listening socket cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketActivationError {
-    /// Descriptors 0 to 2 are the standard streams.
+    /// The descriptor is 0, 1 or 2: a standard stream.
     #[error("EDGE_FD: {0} is a standard stream")]
     StandardStream(u32),
-    /// The descriptor is closed, or of another type.
+    /// The descriptor is closed, or is of another type than a listening TCP socket.
     #[error("EDGE_FD: descriptor {descriptor}")]
     Descriptor {
         /// The descriptor in `EDGE_FD`.
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -13,7 +13,7 @@
 use sprucelink_zone_failover::config::FailoverConfig;
 use std::io;
 
-/// Why a file or an environment variable cannot be used at startup.
+/// Reason why a file or an environment variable cannot be used at startup.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupFileError {
     /// An environment variable is invalid.
@@ -67,7 +67,7 @@
     })
 }
 
-/// Reads the configuration that the options name, or else the one that `EDGE_CONFIG` names.
+/// Reads the configuration file that the options name, or else the one that `EDGE_CONFIG` names.
 ///
 /// # Errors
 /// A configuration that is missing, unreadable or invalid.
@@ -107,7 +107,7 @@
     }))
 }
 
-/// Reads the settings file at `path`, if there is one.
+/// Reads the settings file at `path`; `None` if no path is given.
 fn read_optional<T, E: Into<BoxError>>(
     path: Option<&String>,
     parse: impl FnOnce(&str) -> Result<T, E>,
