--- a/crates/admin/src/admission.rs
+++ b/crates/admin/src/admission.rs
@@ -2,11 +2,12 @@
 //! are taken. This module does no I/O and reads no clock: time is an argument, counted from a fixed origin of
 //! the caller's choice.
 //!
-//! Every new connection gets a slot. When all slots are taken, a connection is evicted: first the connection
-//! that got its response the longest ago, then the one with an incomplete request that has been silent the
-//! longest, last the one that has been reading its response the longest. Any number of clients that connect
-//! and send nothing, or a partial request, therefore evict each other, while a client that sends its request
-//! at once is answered.
+//! Every new connection gets a slot. When all slots are taken, a connection is evicted: if there are
+//! connections with a complete response, the one that got its response the longest ago; otherwise, if there
+//! are connections with an incomplete request, the one that has been silent the longest; otherwise the
+//! connection that has been reading its response the longest. Any number of clients that connect and send
+//! nothing, or a partial request, therefore evict each other, while a client that sends its request at once
+//! is answered.
 
 use crate::accept_pacer::AcceptPacer;
 use crate::limits::{Limits, PEAK_ACCEPTS_PER_SECOND};
@@ -17,10 +18,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(u64);
 
-/// Progress of a connection; lower stages are evicted first.
+/// Progress of a connection, in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// The response is sent, and only the client's side of the connection is still open.
+    /// The response is sent, and the client has not closed its side of the connection yet.
     Closing,
     /// The request is incomplete.
     ReadingRequest,
@@ -32,12 +33,12 @@
 struct Connection {
     stage: Stage,
     /// Time at which bytes of the request last arrived, or the stage began.
-    since: Duration,
+    last_activity: Duration,
     /// Time at which the stage times out.
     deadline: Duration,
 }
 
-/// Result of admitting a connection.
+/// A connection that was admitted, and the connection that was evicted for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
     /// The new connection.
@@ -52,14 +53,14 @@
     limits: Limits,
     connections: BTreeMap<ConnectionId, Connection>,
     next_id: u64,
-    /// Bounds the rate over short periods.
+    /// Limits the rate of accepting over short periods, to [`PEAK_ACCEPTS_PER_SECOND`].
     peak_pacer: AcceptPacer,
-    /// Bounds the rate in the long run.
+    /// Limits the rate of accepting in the long run, to [`Limits::accepts_per_second`].
     sustained_pacer: AcceptPacer,
 }
 
 impl Admission {
-    /// Creates the slots, all free.
+    /// Creates the slots for `limits`, all free.
     pub fn new(limits: Limits) -> Admission {
         let half_of_slots = u32::try_from(limits.max_connections / 2).unwrap_or(u32::MAX);
         Admission {
@@ -85,33 +86,35 @@
 
     /// Assigns a slot to a connection that was accepted.
     pub fn admit(&mut self, now: Duration) -> Admitted {
-        self.peak_pacer.count(now);
-        self.sustained_pacer.count(now);
+        self.peak_pacer.record_accept(now);
+        self.sustained_pacer.record_accept(now);
         let is_full = self.connections.len() >= self.limits.max_connections.max(1);
         let evicted = if is_full { self.evict() } else { None };
         let id = ConnectionId(self.next_id);
         self.next_id += 1;
         let deadline = now + self.limits.request_timeout;
-        self.connections.insert(id, Connection { stage: Stage::ReadingRequest, since: now, deadline });
+        self.connections
+            .insert(id, Connection { stage: Stage::ReadingRequest, last_activity: now, deadline });
         Admitted { id, evicted }
     }
 
-    /// Evicts a connection, if there is any; its slot is free at once. Also called when the kernel has no
-    /// descriptor for a new connection.
+    /// Evicts the first connection in the order of eviction, whose slot is free at once; `None` if there is
+    /// no connection. Also called when the kernel has no descriptor for a new connection.
     pub fn evict(&mut self) -> Option<ConnectionId> {
-        let eviction_rank =
-            |(id, connection): &(&ConnectionId, &Connection)| (connection.stage, connection.since, **id);
+        let eviction_rank = |(id, connection): &(&ConnectionId, &Connection)| {
+            (connection.stage, connection.last_activity, **id)
+        };
         let id = self.connections.iter().min_by_key(eviction_rank).map(|(id, _)| *id)?;
         self.connections.remove(&id);
         Some(id)
     }
 
-    /// Records that bytes of a request arrived. Among the connections with incomplete requests, this one is
-    /// now evicted last; its deadline does not change.
+    /// Records that bytes of a request arrived: the connection is now the last one to be evicted among those
+    /// with incomplete requests. Its deadline does not change.
     pub fn on_request_bytes(&mut self, now: Duration, id: ConnectionId) {
         let reading = self.connections.get_mut(&id).filter(|c| c.stage == Stage::ReadingRequest);
         if let Some(connection) = reading {
-            connection.since = now;
+            connection.last_activity = now;
         }
     }
 
@@ -128,7 +131,7 @@
 
     fn advance(&mut self, now: Duration, id: ConnectionId, from: Stage, to: Stage, timeout: Duration) {
         if let Some(connection) = self.connections.get_mut(&id).filter(|c| c.stage == from) {
-            *connection = Connection { stage: to, since: now, deadline: now + timeout };
+            *connection = Connection { stage: to, last_activity: now, deadline: now + timeout };
         }
     }
 
--- a/crates/admin/src/connection.rs
+++ b/crates/admin/src/connection.rs
@@ -5,7 +5,7 @@
 use crate::observed_stream::{ObservedStream, RequestProgress};
 use crate::operations::{LimitReached, Operations};
 use crate::response::AdminResponse;
-use crate::service::Service;
+use crate::shared_state::SharedState;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::server::conn::http1;
@@ -26,28 +26,29 @@
 /// Size in bytes of the buffer for input that is discarded after a response.
 const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Requests the end of a connection, and reports that the connection has ended.
+/// Signals between the accept loop and the task of a connection: `requested` asks the task to end the
+/// connection because of an eviction, and `completed` reports that the connection has ended.
 #[derive(Debug, Default)]
-pub(crate) struct Eviction {
+pub(crate) struct EvictionSignals {
     pub(crate) requested: Notify,
     pub(crate) completed: Notify,
 }
 
 /// A connection with a slot; dropping it releases the slot.
 pub(crate) struct Connection<O> {
-    pub(crate) service: Rc<Service<O>>,
+    pub(crate) shared: Rc<SharedState<O>>,
     pub(crate) id: ConnectionId,
-    pub(crate) eviction: Rc<Eviction>,
+    pub(crate) eviction_signals: Rc<EvictionSignals>,
 }
 
 impl<O> Drop for Connection<O> {
     fn drop(&mut self) {
-        self.service.admission.borrow_mut().remove(self.id);
-        self.eviction.completed.notify_one();
+        self.shared.admission.borrow_mut().remove(self.id);
+        self.eviction_signals.completed.notify_one();
     }
 }
 
-/// Outcome of the HTTP library's part of a connection.
+/// How the HTTP library's part of a connection ended.
 enum HttpEnd {
     /// The library has finished serving the connection.
     Finished(hyper::Result<()>),
@@ -61,9 +62,9 @@
 enum CloseAction {
     /// Send this response, then close the connection.
     Respond(AdminResponse),
-    /// The response is sent: close once the client has closed its side.
+    /// The response is sent: close the connection once the client has closed its side.
     Close,
-    /// Close at once.
+    /// Close the connection at once.
     Drop,
     /// Reset the connection: otherwise the kernel would keep unsent bytes long after the close.
     Reset,
@@ -114,7 +115,7 @@
             CloseAction::Close => self.linger(stream).await,
             CloseAction::Drop => {}
             CloseAction::Reset => {
-                self.service.count_limit(Some(LimitReached::ResponseTimeout));
+                self.shared.count_limit(Some(LimitReached::ResponseTimeout));
                 let _ = stream.set_zero_linger();
             }
             CloseAction::Evict => self.evict(&stream, &progress),
@@ -125,7 +126,7 @@
     /// evicted.
     async fn serve_http(&self, stream: TcpStream, progress: &Rc<RequestProgress>) -> (TcpStream, HttpEnd) {
         let handle = |request: Request<Incoming>| self.handle(request, progress);
-        let on_bytes = || self.service.admission.borrow_mut().on_request_bytes(self.service.now(), self.id);
+        let on_bytes = || self.shared.admission.borrow_mut().on_request_bytes(self.shared.now(), self.id);
         let observed = TokioIo::new(ObservedStream::new(stream, Rc::clone(progress), on_bytes));
         let mut http = http1::Builder::new();
         // One request per connection. A client that closes its side after its request still gets the
@@ -138,7 +139,7 @@
                 // because the event loop was late.
                 biased;
                 result = &mut connection => break HttpEnd::Finished(result),
-                _ = self.eviction.requested.notified() => break HttpEnd::Evicted,
+                _ = self.eviction_signals.requested.notified() => break HttpEnd::Evicted,
                 _ = self.stage_timeout() => {
                     // A stage that began meanwhile has its own deadline.
                     if let Some(stage) = self.timed_out() {
@@ -157,37 +158,37 @@
         progress: &RequestProgress,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         progress.set_parsed();
-        let response = self.service.respond(request).await;
-        self.service.count_limit(response.limit);
-        self.service.admission.borrow_mut().on_response_begin(self.service.now(), self.id);
+        let response = self.shared.respond(request).await;
+        self.shared.count_limit(response.limit);
+        self.shared.admission.borrow_mut().on_response_begin(self.shared.now(), self.id);
         Ok(response.into_http())
     }
 
     /// Waits until the current stage times out.
     async fn stage_timeout(&self) {
-        let deadline = self.service.admission.borrow().deadline(self.id);
+        let deadline = self.shared.admission.borrow().deadline(self.id);
         match deadline {
-            Some(deadline) => sleep_until(self.service.started + deadline).await,
-            // The connection was evicted, which `Eviction::requested` reports.
+            Some(deadline) => sleep_until(self.shared.started + deadline).await,
+            // The connection was evicted, which `EvictionSignals::requested` reports.
             None => pending().await,
         }
     }
 
     fn timed_out(&self) -> Option<Stage> {
-        self.service.admission.borrow().timed_out(self.service.now(), self.id)
+        self.shared.admission.borrow().timed_out(self.shared.now(), self.id)
     }
 
     /// Time left until the current stage times out.
     fn remaining(&self) -> Duration {
-        let deadline = self.service.admission.borrow().deadline(self.id);
-        deadline.unwrap_or(Duration::ZERO).saturating_sub(self.service.now())
+        let deadline = self.shared.admission.borrow().deadline(self.id);
+        deadline.unwrap_or(Duration::ZERO).saturating_sub(self.shared.now())
     }
 
     /// Sends a response without the HTTP library, then closes the connection.
     async fn send(&self, mut stream: TcpStream, response: &AdminResponse) {
-        self.service.count_limit(response.limit);
+        self.shared.count_limit(response.limit);
         debug!(status = response.status.as_u16(), text = response.text, "admin response sent");
-        self.service.admission.borrow_mut().on_response_begin(self.service.now(), self.id);
+        self.shared.admission.borrow_mut().on_response_begin(self.shared.now(), self.id);
         let bytes = response.to_bytes();
         select! {
             biased;
@@ -195,7 +196,7 @@
                 Ok(Ok(())) => {}
                 _ => return,
             },
-            _ = self.eviction.requested.notified() => return,
+            _ = self.eviction_signals.requested.notified() => return,
         }
         self.linger(stream).await;
     }
@@ -203,7 +204,7 @@
     /// Writes the response of an eviction without waiting. A client that sent nothing gets no response.
     fn evict(&self, stream: &TcpStream, progress: &RequestProgress) {
         let response = AdminResponse::evicted();
-        self.service.count_limit(response.limit);
+        self.shared.count_limit(response.limit);
         if progress.has_bytes() && !progress.is_parsed() {
             let _ = stream.try_write(&response.to_bytes());
         }
@@ -212,13 +213,13 @@
     /// Closes this side, and waits up to [`crate::Limits::linger`] for the client to close its side. The
     /// kernel resets a connection that is closed with unread bytes, and the client could lose the response.
     async fn linger(&self, mut stream: TcpStream) {
-        self.service.admission.borrow_mut().on_response_sent(self.service.now(), self.id);
+        self.shared.admission.borrow_mut().on_response_sent(self.shared.now(), self.id);
         if stream.shutdown().await.is_err() {
             return;
         }
         select! {
             _ = timeout(self.remaining(), discard(&mut stream)) => {}
-            _ = self.eviction.requested.notified() => {}
+            _ = self.eviction_signals.requested.notified() => {}
         }
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod response;
 pub mod routes;
 mod server;
-mod service;
+mod shared_state;
 pub mod target;
 
 pub use limits::{
--- a/crates/admin/src/limits.rs
+++ b/crates/admin/src/limits.rs
@@ -22,11 +22,11 @@
 /// some 30 ms for its request before others can evict it, however many arrive.
 pub const PEAK_ACCEPTS_PER_SECOND: u32 = 1_000;
 
-/// Limits on the clients of the admin address.
+/// Limits on the clients of the admin address. The defaults are given in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum number of concurrent connections, 1 or more (64): operators, health checks and scrapers need
-    /// only a few.
+    /// only a few connections.
     pub max_connections: usize,
     /// Time from accepting a connection to a complete request (2 s); after it the response is 408.
     pub request_timeout: Duration,
--- a/crates/admin/src/observed_stream.rs
+++ b/crates/admin/src/observed_stream.rs
@@ -1,8 +1,8 @@
 //! Wraps a connection for the HTTP library: observes arriving bytes, and writes nothing before the head of a
 //! request is parsed.
 //!
-//! The library itself answers bytes that are not a request, and gives no reason. This wrapper drops that
-//! answer, and the client gets a response from [`crate::response`] instead.
+//! The library itself responds to bytes that are not a request, but gives no reason. This wrapper drops the
+//! library's response, and the client gets one from [`crate::response`] instead.
 
 use std::cell::Cell;
 use std::io;
--- a/crates/admin/src/operations.rs
+++ b/crates/admin/src/operations.rs
@@ -9,19 +9,19 @@
     /// The metrics, one line per metric; above [`crate::MAX_RESPONSE_BYTES`] the response is 500.
     fn stats(&self) -> String;
 
-    /// Takes an engine out of use until it is uncordoned.
+    /// Takes the engine with the id `target` out of use until it is uncordoned.
     ///
     /// # Errors
-    /// An engine that is unknown, or a cordon that cannot be recorded.
+    /// If the engine is unknown, or the cordon cannot be recorded.
     fn cordon(&self, target: &str) -> Result<OperationOutcome, OperationError>;
 
-    /// Puts an engine back into use.
+    /// Puts the engine with the id `target` back into use.
     ///
     /// # Errors
-    /// An engine that is unknown, or a change that cannot be recorded.
+    /// If the engine is unknown, or the end of the cordon cannot be recorded.
     fn uncordon(&self, target: &str) -> Result<OperationOutcome, OperationError>;
 
-    /// A limit of the admin address was reached; called once each time, for counters.
+    /// Called each time a client reaches a limit of the admin address; the program counts the calls.
     fn on_limit_reached(&self, _limit: LimitReached) {}
 }
 
@@ -34,7 +34,7 @@
     Unchanged,
 }
 
-/// Why an operation was rejected.
+/// Reason why an operation was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperationError {
     /// No engine with this id was ever listed; the response is 404.
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -12,14 +12,15 @@
 /// The content type of every response.
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 
-/// A response to a client.
+/// A response to a client, before it is encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminResponse {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: StatusCode,
     /// Body, which ends with a line feed.
     pub text: String,
-    /// Methods that the path takes, for the `Allow` header of a 405.
+    /// Methods that the path takes, for the `Allow` header of a response with status 405; `None` in all
+    /// others.
     pub allow: Option<&'static str>,
     /// The limit that the client reached, if it is the reason for the response; the caller counts it.
     pub limit: Option<LimitReached>,
@@ -104,7 +105,7 @@
         AdminResponse::limited(StatusCode::REQUEST_TIMEOUT, line, LimitReached::RequestTimeout)
     }
 
-    /// The response on a connection that was evicted.
+    /// The response to a client whose connection was evicted.
     pub fn evicted() -> AdminResponse {
         let line = "too many callers: this one had been silent for longest";
         AdminResponse::limited(StatusCode::SERVICE_UNAVAILABLE, line, LimitReached::Evicted)
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -15,7 +15,7 @@
     Uncordon,
 }
 
-/// Why a method and path have no operation.
+/// Reason why a method and path have no operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// No operation has this path.
--- a/crates/admin/src/service.rs
+++ b/crates/admin/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! Processes requests, and holds the state that all connections share.
+//! The state that all connections share, and the processing of their requests.
 
 use crate::admission::Admission;
 use crate::limits::MAX_BODY_BYTES;
@@ -15,21 +15,21 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// State that all connections share.
-pub(crate) struct Service<O> {
+/// State that all connections of the admin address share.
+pub(crate) struct SharedState<O> {
     pub(crate) operations: Rc<O>,
     pub(crate) admission: RefCell<Admission>,
     /// Origin of the times in `admission`.
     pub(crate) started: Instant,
 }
 
-impl<O: Operations> Service<O> {
-    /// The current time in `admission`.
+impl<O: Operations> SharedState<O> {
+    /// The current time, counted from `started` as the times in `admission`.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Counts the limit that a client reached, if any.
+    /// Reports the limit that a client reached, if any, to the program's counters.
     pub(crate) fn count_limit(&self, limit: Option<LimitReached>) {
         if let Some(limit) = limit {
             self.operations.on_limit_reached(limit);
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads the complete body of a request; the error is the response to a body that was not read.
+/// Reads the complete body of a request; the error is the response to a body that cannot be read.
 async fn read_body(body: Incoming) -> Result<Bytes, AdminResponse> {
     // A body that announces too many bytes is not read at all.
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
--- a/crates/admin/src/target.rs
+++ b/crates/admin/src/target.rs
@@ -8,7 +8,7 @@
 /// client's input.
 const MAX_QUOTED_CHARS: usize = 120;
 
-/// Why a body names no engine; each message is one line with the field and the rule.
+/// Reason why a body names no engine. Each message is one line with the field and the rule that it breaks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TargetError {
     /// The body is empty.
@@ -23,7 +23,7 @@
     /// The field is an empty string.
     #[error("target: empty")]
     Empty,
-    /// The field is longer than [`MAX_TARGET_BYTES`]; its length.
+    /// The field is longer than [`MAX_TARGET_BYTES`]. The value is the length of the field in bytes.
     #[error("target: {0} bytes, at most {MAX_TARGET_BYTES}")]
     TooLong(usize),
     /// The field is not a string.
--- a/crates/admin/tests/admission.rs
+++ b/crates/admin/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission as a state machine: the limits hold in any order of events.
+//! Tests of admission as a state machine: the limits hold in any order of events.
 
 use proptest::prelude::*;
 use sprucelink_admin::admission::{Admission, ConnectionId, Stage};
@@ -52,7 +52,7 @@
 struct ConnectionModel {
     accepted: Duration,
     stage: Stage,
-    since: Duration,
+    last_activity: Duration,
 }
 
 /// Checks that the evicted connection was the first in eviction order: by stage, then by the time it has been
@@ -61,7 +61,7 @@
     model: &BTreeMap<ConnectionId, ConnectionModel>,
     evicted: ConnectionId,
 ) -> Result<(), TestCaseError> {
-    let eviction_rank = |connection: &ConnectionModel| (connection.stage, connection.since);
+    let eviction_rank = |connection: &ConnectionModel| (connection.stage, connection.last_activity);
     let first = model[&evicted];
     for (id, other) in model {
         prop_assert!(
@@ -89,13 +89,13 @@
                 Operation::Advance(n) => now += millis(n),
                 Operation::Admit => {
                     let is_full = model.len() == SLOTS;
-                    let admitted = admission.admit(now);
-                    prop_assert_eq!(admitted.evicted.is_some(), is_full, "a connection is evicted only when all slots are taken");
-                    if let Some(evicted) = admitted.evicted {
+                    let admission_result = admission.admit(now);
+                    prop_assert_eq!(admission_result.evicted.is_some(), is_full, "a connection is evicted only when all slots are taken");
+                    if let Some(evicted) = admission_result.evicted {
                         check_eviction_order(&model, evicted)?;
                         model.remove(&evicted);
                     }
-                    model.insert(admitted.id, ConnectionModel { accepted: now, stage: Stage::ReadingRequest, since: now });
+                    model.insert(admission_result.id, ConnectionModel { accepted: now, stage: Stage::ReadingRequest, last_activity: now });
                 }
                 Operation::RunOutOfDescriptors => match admission.evict() {
                     Some(evicted) => {
@@ -109,7 +109,7 @@
                     admission.on_request_bytes(now, id);
                     prop_assert_eq!(admission.deadline(id), deadline, "bytes do not extend the deadline");
                     let connection = model.get_mut(&id).unwrap();
-                    if connection.stage == Stage::ReadingRequest { connection.since = now }
+                    if connection.stage == Stage::ReadingRequest { connection.last_activity = now }
                 },
                 Operation::BeginResponse(n) | Operation::FinishResponse(n) => if let Some(id) = pick(&model, n) {
                     let connection = model.get_mut(&id).unwrap();
@@ -117,7 +117,7 @@
                         Operation::BeginResponse(_) => { admission.on_response_begin(now, id); (Stage::ReadingRequest, Stage::WritingResponse) }
                         _ => { admission.on_response_sent(now, id); (Stage::WritingResponse, Stage::Closing) }
                     };
-                    if connection.stage == from { connection.stage = to; connection.since = now }
+                    if connection.stage == from { connection.stage = to; connection.last_activity = now }
                 },
                 Operation::Remove(n) => if let Some(id) = pick(&model, n) {
                     admission.remove(id);
@@ -133,7 +133,7 @@
                     Stage::WritingResponse => limits.response_timeout,
                     Stage::Closing => limits.linger,
                 };
-                let started = if connection.stage == Stage::ReadingRequest { connection.accepted } else { connection.since };
+                let started = if connection.stage == Stage::ReadingRequest { connection.accepted } else { connection.last_activity };
                 prop_assert_eq!(admission.deadline(*id), Some(started + timeout));
                 prop_assert_eq!(admission.timed_out(now, *id), (now >= started + timeout).then_some(connection.stage));
             }
@@ -144,10 +144,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(19), failure_persistence: None, ..ProptestConfig::with_cases(64) })]
 
-    /// Clients connect as fast as they are accepted: in any period, the connections exceed neither burst and
-    /// its rate.
+    /// Clients connect as fast as they are accepted. In any period, the number of accepted connections
+    /// exceeds neither the peak nor the sustained rate by more than the burst of that rate.
     #[test]
-    fn accepts_never_exceed_either_burst_and_rate(pauses in prop::collection::vec(prop_oneof![6 => Just(0_u64), 1 => 0..200_u64], 130..220)) {
+    fn accepts_stay_within_peak_and_sustained_rates(pauses in prop::collection::vec(prop_oneof![6 => Just(0_u64), 1 => 0..200_u64], 130..220)) {
         let mut admission = Admission::new(Limits { max_connections: 40, ..limits() });
         let (mut now, mut times) = (Duration::ZERO, Vec::new());
         for pause in pauses {
@@ -165,7 +165,8 @@
     }
 
     /// Guards against partial requests that evict a complete one: a client whose request is complete within
-    /// the 30 ms that the peak rate leaves it keeps its slot, however many others connect at that rate.
+    /// the 30 ms that the peak rate leaves it keeps its slot, however many other clients connect at that
+    /// rate.
     #[test]
     fn connection_with_a_complete_request_keeps_its_slot(before in 0..200_usize, sends_bytes in prop::collection::vec(any::<bool>(), 300)) {
         let limits = Limits { max_connections: 64, accept_burst: 512, ..Limits::default() };
--- a/crates/admin/tests/calls.rs
+++ b/crates/admin/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Valid and invalid requests, sent as bytes on a socket: each gets one response, and the next request is
-//! served.
+//! Tests of valid and invalid requests, sent as bytes on a socket: each request gets one response, and the
+//! next one is served.
 
 mod common;
 
@@ -104,7 +104,8 @@
             })
         })
         .collect();
-    // There are more clients at once than slots; none of them is evicted in the time that its request takes.
+    // There are more concurrent clients than slots, but no client is evicted in the time that its request
+    // takes.
     for client in clients {
         let (cut, response) = client.join().unwrap();
         assert_eq!(response.status, 200, "cut at {cut}: {response:?}");
--- a/crates/admin/tests/common/mod.rs
+++ b/crates/admin/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// Maximum time that a test waits for a response, far longer than any response may take.
+/// Maximum time that a test waits for a response, far longer than a response may take.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Name of the thread that serves the admin address.
@@ -72,8 +72,8 @@
             let listener = socket.listen(1024).unwrap();
             sender.send(listener.local_addr().unwrap()).unwrap();
             let metrics = Metrics::try_new(&["lane-rate".into()]).unwrap();
-            let program = Rc::new(TestOperations { cordoned: RefCell::default(), metrics, padding });
-            serve(listener, program, limits).await;
+            let operations = Rc::new(TestOperations { cordoned: RefCell::default(), metrics, padding });
+            serve(listener, operations, limits).await;
         };
         tokio::task::LocalSet::new().block_on(&runtime, serving);
     };
--- a/crates/admin/tests/descriptors.rs
+++ b/crates/admin/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! The admin address holds no more descriptors than its limits allow, and survives a shortage of descriptors.
+//! Test that the admin address holds no more descriptors than its limits allow, and survives a shortage.
 //! This is the only test of its process, since the kernel's limit applies to the process.
 
 mod common;
@@ -33,7 +33,8 @@
 
     let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).unwrap();
     let mut waiting: Vec<TcpStream> = (0..4).map(|_| connect(address)).collect();
-    // Wait until the server has closed the others and accepted these, which have two ends each.
+    // Wait until the server has closed the silent connections and accepted the four waiting ones, both ends
+    // of which are in this process.
     let start = Instant::now();
     while open_descriptors() != before + 2 * waiting.len() {
         assert!(start.elapsed() < Duration::from_secs(20), "{} open, {before} before", open_descriptors());
--- a/crates/admin/tests/hostile.rs
+++ b/crates/admin/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Clients that stay connected without sending, with a partial request, or without reading. Other clients are
-//! answered meanwhile.
+//! Tests with clients that stay connected without sending, with a partial request, or without reading.
+//! Requests of other clients are answered meanwhile.
 
 mod common;
 
@@ -40,8 +40,8 @@
     }
     let mut clients = idle_clients.join().unwrap();
     assert_eq!(get(address, "/admin/stats").status, 200);
-    // All idle clients but the last ones were evicted, long before their requests timed out, and got a
-    // response that says so.
+    // All idle clients but the last ones were evicted long before their requests timed out, and got the
+    // response of an eviction.
     assert!(metric(address, "admin.displaced") >= 500, "{}", metric(address, "admin.displaced"));
     assert_eq!(metric(address, "admin.call_late"), 0);
     let evicted = read_response(&mut clients[1]);
--- a/crates/admin/tests/routes.rs
+++ b/crates/admin/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The operation of each method and path.
+//! Tests of the operation for each method and path.
 
 use hyper::Method;
 use sprucelink_admin::routes::{Route, RouteError};
--- a/crates/admin/tests/target.rs
+++ b/crates/admin/tests/target.rs
@@ -1,4 +1,4 @@
-//! Parsing of the body that names an engine.
+//! Tests of parsing the body that names an engine.
 
 use proptest::prelude::*;
 use sprucelink_admin::target::parse_target;
--- a/crates/metrics/src/error.rs
+++ b/crates/metrics/src/error.rs
@@ -2,7 +2,7 @@
 
 use crate::{MAX_CLASSES, MAX_METRICS, MAX_NAME_BYTES};
 
-/// Why a metric could not be registered.
+/// Reason why a metric could not be registered.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MetricError {
     /// The name is empty.
@@ -11,7 +11,7 @@
     /// The name is longer than [`MAX_NAME_BYTES`]; the field is its length in bytes.
     #[error("a metric's name has {0} bytes, more than {MAX_NAME_BYTES}")]
     NameTooLong(usize),
-    /// The name has white space, a control character or `=`, which would break its line.
+    /// The name has white space, a control character or `=`, which would break its line in a rendering.
     #[error("metric {0:?}: white space, control characters and = are not allowed")]
     InvalidName(String),
     /// The name belongs to a metric that only this crate updates, or is already registered.
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -131,7 +131,8 @@
     /// fractions are truncated, negative values and NaN are shown as 0.
     ///
     /// # Errors
-    /// The same as for [`Metrics::counter`], with the kinds exchanged.
+    /// An invalid or reserved name, the name of a counter, or a new name when there are [`MAX_METRICS`]
+    /// already.
     pub fn gauge(&self, name: &str) -> Result<Gauge, MetricError> {
         self.registry.borrow_mut().gauge(name)
     }
--- a/crates/metrics/src/registry.rs
+++ b/crates/metrics/src/registry.rs
@@ -18,7 +18,7 @@
 pub const MAX_RENDERED_BYTES: usize = MAX_METRICS * (PREFIX.len() + MAX_NAME_BYTES + 22);
 /// Prefix of each name in a rendering.
 const PREFIX: &str = "edge.";
-/// Expected length of a line in bytes, by which a rendering is allocated.
+/// Expected length of a line in bytes, from which the capacity of a rendering is computed.
 const TYPICAL_LINE_BYTES: usize = 48;
 
 /// Shared value of a reserved metric, which only this crate updates.
--- a/crates/metrics/src/registry/tests.rs
+++ b/crates/metrics/src/registry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the registry.
+//! Tests of registering and rendering metrics.
 
 use super::*;
 
--- a/crates/metrics/src/request_accounting.rs
+++ b/crates/metrics/src/request_accounting.rs
@@ -31,8 +31,8 @@
 }
 
 impl Account {
-    /// The difference is never negative: each completion comes from a guard, and each guard was counted at
-    /// its creation.
+    /// Number of requests started and not yet completed. It is never negative: each completion comes from a
+    /// guard, and each guard was counted as started when it was created.
     fn outstanding(&self) -> u64 {
         let completed =
             self.succeeded.get() + self.rejected.get() + self.aborted.get() + self.abandoned.get();
@@ -43,13 +43,13 @@
 /// Number of completed requests of a class, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub succeeded: u64,
-    /// Requests that were rejected; a retry is harmless (`declined` in the rendering).
+    /// Number of requests that were rejected; a retry is harmless (`declined` in the rendering).
     pub rejected: u64,
-    /// Requests that failed, or whose guards were dropped without completion.
+    /// Number of requests that failed, or whose guards were dropped without completion.
     pub aborted: u64,
-    /// Requests whose clients stopped waiting before a response was due.
+    /// Number of requests whose clients stopped waiting before a response was due.
     pub abandoned: u64,
 }
 
@@ -60,14 +60,15 @@
     pub(crate) aborted: AtomicValue,
 }
 
-/// Accounts of all classes, and an account for requests with an invalid class index.
+/// Accounts of the requests of all classes, and of requests with an invalid class index.
 #[derive(Debug)]
 pub struct RequestAccounting {
     accounts: Vec<Rc<Account>>,
+    /// Account of requests with an invalid class index.
     unclassed_account: Rc<Account>,
-    /// Abandoned requests of all classes: the platform's format has no line per class for them.
+    /// Number of abandoned requests of all classes: the platform's format has no line per class for them.
     abandoned: AtomicValue,
-    /// Completed requests with an invalid class index.
+    /// Number of completed requests with an invalid class index.
     unclassed: AtomicValue,
 }
 
--- a/crates/metrics/tests/rendering.rs
+++ b/crates/metrics/tests/rendering.rs
@@ -1,4 +1,4 @@
-//! Rendering of the metrics in the platform's format.
+//! Tests of rendering the metrics in the platform's format.
 
 use sprucelink_metrics::{MetricError, Metrics, MAX_CLASSES};
 
