--- a/crates/settings/src/environment.rs
+++ b/crates/settings/src/environment.rs
@@ -3,7 +3,7 @@
 use crate::{Error, ErrorReason};
 use std::net::SocketAddr;
 
-/// Lowest inherited descriptor: those below are the standard streams.
+/// Lowest descriptor that can be inherited: lower descriptors are the standard streams.
 pub const MIN_DESCRIPTOR: u32 = 3;
 
 /// Variable with the path of the configuration file.
@@ -13,12 +13,12 @@
 /// Variable with the descriptor of the clients' listening socket.
 const LISTENER: &str = "EDGE_FD";
 
-/// The environment variables that the program reads. An empty one counts as absent.
+/// The environment variables that the program reads. An empty variable counts as absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Environment {
     /// Path of the configuration file (`EDGE_CONFIG`).
     pub config: Option<String>,
-    /// Address of the admin listener (`EDGE_OPERATOR`); the configuration's own takes precedence.
+    /// Address of the admin listener (`EDGE_OPERATOR`); an address in the configuration takes precedence.
     pub admin_address: Option<SocketAddr>,
     /// Descriptor of the clients' listening socket, if the platform passes one on (`EDGE_FD`).
     pub listener: Option<u32>,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -4,22 +4,23 @@
 use crate::pairs::PairError;
 use crate::Place;
 
-/// A configuration, settings or an environment variable that could not be used: where the fault is, and its
-/// reason.
+/// Error for a configuration, settings or an environment variable that cannot be used: the place of the fault
+/// and the reason.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{place}{reason}")]
 pub struct Error {
     /// The field's path, such as `settings.profiles[0].aim`, or the variable's name; in JSON also the line
     /// and column.
     pub place: Place,
-    /// What is wrong with the value at this place.
+    /// Reason why the value at this place cannot be used.
     pub reason: ErrorReason,
 }
 
-/// What is wrong with a configuration, settings or an environment variable.
+/// Reason why a configuration, settings or an environment variable cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ErrorReason {
-    /// The JSON library's message; the position at its end is moved to [`Error::place`].
+    /// The text is not JSON, or a field is missing or invalid. Holds the JSON library's message without its
+    /// position, which is in [`Error::place`].
     #[error("{0}")]
     Json(String),
     /// The value of a `path=value` pair is invalid.
@@ -45,12 +46,12 @@
 }
 
 impl Error {
-    /// An error in the field or variable at `path`, without a line and column.
+    /// Creates an error in the field or variable at `path`, without a line and column.
     pub fn at_path(path: &str, reason: ErrorReason) -> Error {
         Error { place: Place { position: None, path: path.to_owned() }, reason }
     }
 
-    /// An error of the JSON library, at `path`.
+    /// Creates an error in the field at `path` from an error of the JSON library.
     pub(crate) fn json(path: String, error: &serde_json::Error) -> Error {
         let text = error.to_string();
         let position_suffix = format!(" at line {} column {}", error.line(), error.column());
--- a/crates/settings/src/pairs.rs
+++ b/crates/settings/src/pairs.rs
@@ -36,7 +36,7 @@
         .map_err(|e| Error::at_path(&e.path().to_string(), ErrorReason::Pair(e.into_inner())))
 }
 
-/// The value of a path, and the paths below it.
+/// A node of the tree: the value of a path, and the nodes of the paths below it.
 #[derive(Debug, Default)]
 struct Node<'a> {
     text: Option<&'a str>,
@@ -46,7 +46,7 @@
 /// Node of a path that does not occur.
 static ABSENT: Node<'static> = Node { text: None, children: BTreeMap::new() };
 
-/// Why the value of a pair is invalid; [`Error::place`] holds the path.
+/// Reason why the value of a pair is invalid; [`Error::place`] holds the path of the pair.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PairError {
     /// A list of objects has a `count` above [`MAX_ITEMS`].
@@ -76,8 +76,8 @@
         let Some(count) = self.children.get("count") else { return Ok(None) };
         let text = count.text.filter(|t| !matches!(*t, "" | "-")).unwrap_or("0");
         match text.parse::<f64>() {
-            Ok(n) if n.is_finite() && n as usize <= MAX_ITEMS => Ok(Some(n as usize)),
-            Ok(n) if n.is_finite() => Err(PairError::TooManyItems(text.to_owned())),
+            Ok(count) if count.is_finite() && count as usize <= MAX_ITEMS => Ok(Some(count as usize)),
+            Ok(count) if count.is_finite() => Err(PairError::TooManyItems(text.to_owned())),
             _ => Err(PairError::CountNotANumber(text.to_owned())),
         }
     }
@@ -86,7 +86,7 @@
 impl<'de> Deserializer<'de> for &'de Node<'de> {
     type Error = PairError;
 
-    /// A plain value is passed on as its text.
+    /// Passes on a plain value as text.
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, PairError> {
         match self.text {
             Some(text) => visitor.visit_borrowed_str(text),
@@ -140,7 +140,7 @@
     }
 }
 
-/// Items of a list of objects; items without pairs are absent.
+/// Items of a list of objects. An item without pairs is deserialized as absent.
 struct ObjectItems<'de> {
     node: &'de Node<'de>,
     next: usize,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Entries of a map: the paths below a path.
+/// Entries of a map: the nodes of the paths below a path.
 struct Children<'de> {
     remaining: btree_map::Iter<'de, &'de str, Node<'de>>,
     value: &'de Node<'de>,
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-/// Path in `serde_path_to_error` of a text as a whole.
+/// Path by which `serde_path_to_error` refers to a text as a whole.
 pub const ROOT: &str = ".";
 
-/// A location in a settings text; displayed as `line 2, column 5: lists.burst: `, or as the empty string if
-/// it is unknown.
+/// A location in a settings text. It is displayed as `line 2, column 5: lists.burst: `, or as the empty
+/// string if the location is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Line and column, from 1 (column 0: before the first character); `None` if the text has no lines.
--- a/crates/settings/src/platform_config.rs
+++ b/crates/settings/src/platform_config.rs
@@ -22,16 +22,16 @@
     /// Resource limits of the process.
     #[serde(default, deserialize_with = "section")]
     pub limits: ProcessLimits,
-    /// Address of the control feed (the endpoint list).
+    /// Address of the control feed, which sends the endpoint list; `None` if the configuration has none.
     #[serde(default)]
     pub feed: Option<String>,
     /// Address of the admin listener; `None` if the configuration has none.
     #[serde(rename = "operator", default)]
     pub admin_address: Option<SocketAddr>,
-    /// The control feed's events up to the start.
+    /// Events of the control feed that precede the start of this manager.
     #[serde(rename = "known", default = "KnownEvents::none", deserialize_with = "known_events")]
     pub known_events: KnownEvents<E>,
-    /// The settings, with the same fields as in the simulator's first message.
+    /// The settings, with the same fields as in the simulator's line that starts an instance.
     #[serde(deserialize_with = "object")]
     pub settings: WireSettings,
 }
@@ -55,21 +55,22 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// Memory in MB above which the process is killed.
+    /// Memory in MB above which the process is killed; absent: the program assumes a default.
     pub memory_mb: UnsignedInteger,
-    /// Maximum number of file descriptors.
+    /// Maximum number of file descriptors that the process may hold; absent: the program assumes a
+    /// default.
     #[serde(rename = "sockets")]
     pub descriptors: UnsignedInteger,
 }
 
-/// Events of the control feed up to the start.
+/// Events of the control feed that precede the start of this manager, as the configuration contains them.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(bound(deserialize = "E: Deserialize<'de>"))]
 pub struct KnownEvents<E> {
     /// Sequence number of the last event; absent if there are no events.
     #[serde(rename = "n", default)]
     pub last_event: UnsignedInteger,
-    /// The events, in order.
+    /// The events, oldest first.
     #[serde(default = "Vec::new", deserialize_with = "or_default")]
     pub events: Vec<E>,
 }
@@ -83,8 +84,8 @@
 fn known_events<'de, D: Deserializer<'de>, E: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<KnownEvents<E>, D::Error> {
-    // A sequence number without events is ignored: polled from that number on, the feed would never send the
-    // complete list, which is in its first event.
+    // A sequence number without the events up to it is ignored. If the feed were polled from that number on,
+    // it would never send its first event, which contains the complete list.
     let known = Option::<KnownEvents<E>>::deserialize(deserializer)?;
     Ok(known.filter(|known| !known.events.is_empty()).unwrap_or_else(KnownEvents::none))
 }
--- a/crates/settings/src/settings_file.rs
+++ b/crates/settings/src/settings_file.rs
@@ -4,9 +4,9 @@
 use crate::{InvalidField, Place};
 use serde::de::DeserializeOwned;
 
-/// Settings in a JSON5 file of the operator.
+/// Settings that are read from a JSON5 file of the operator.
 pub trait SettingsFile: DeserializeOwned {
-    /// Subject of the settings; each error message begins with it.
+    /// Name of what the settings configure, such as `failover`; each error message begins with it.
     const SUBJECT: &'static str;
 
     /// Checks the rules that the types do not enforce: ranges, and rules between fields.
@@ -28,13 +28,13 @@
     }
 }
 
-/// Why a settings file was rejected. The caller adds the file's name.
+/// Reason why a settings file was rejected. The caller adds the file's name.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
     /// The text is not JSON5, or a field is unknown or of the wrong type.
     #[error("{subject}: {place}{message}")]
     Json5 {
-        /// Subject of the settings.
+        /// [`SettingsFile::SUBJECT`] of the settings.
         subject: &'static str,
         /// Location of the error in the text.
         place: Place,
@@ -44,7 +44,7 @@
     /// A value breaks a rule of the settings.
     #[error("{subject}: {invalid}")]
     InvalidField {
-        /// Subject of the settings.
+        /// [`SettingsFile::SUBJECT`] of the settings.
         subject: &'static str,
         /// The field, and the rule that it breaks.
         invalid: InvalidField,
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -10,7 +10,7 @@
     pub violation: Violation,
 }
 
-/// A rule of settings, with the value that breaks it.
+/// A rule for settings, with the value that breaks the rule.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Violation {
     /// The number is not finite or lies outside its bounds.
@@ -37,12 +37,12 @@
         /// Length of the configured value in bytes.
         length: usize,
     },
-    /// A name that must be unique occurs twice.
+    /// A name that must be unique occurs more than once.
     #[error("{item} {name:?} stands in two places")]
     Duplicate {
         /// Kind of item that has the name, such as `zone`.
         item: &'static str,
-        /// The name that occurs twice.
+        /// The name that occurs more than once.
         name: String,
     },
 }
@@ -53,7 +53,7 @@
         InvalidField { path: path.into(), violation }
     }
 
-    /// The same violation with `section` put before the field's path.
+    /// Returns the error with `section` put before the field's path.
     #[must_use]
     pub fn in_section(self, section: &str) -> InvalidField {
         InvalidField { path: format!("{section}.{}", self.path), ..self }
--- a/crates/settings/src/value/number.rs
+++ b/crates/settings/src/value/number.rs
@@ -58,7 +58,8 @@
     }
 }
 
-/// A list of numbers. Empty texts in the list are skipped; no other item may be absent.
+/// A list of numbers; empty if it is absent. Empty texts in the list are skipped; no other item may be
+/// absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NumberList(pub Vec<f64>);
 
@@ -103,7 +104,7 @@
 impl<'de> Deserialize<'de> for NumberList {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<NumberList, D::Error> {
         let list: Vec<ListNumber> = or_default(d)?;
-        Ok(NumberList(list.into_iter().filter_map(|e| e.0).collect()))
+        Ok(NumberList(list.into_iter().filter_map(|item| item.0).collect()))
     }
 }
 
--- a/crates/settings/src/value/text.rs
+++ b/crates/settings/src/value/text.rs
@@ -20,7 +20,7 @@
 pub struct Text(pub String);
 
 impl Text {
-    /// The text; `None` if it is absent (`-` included).
+    /// The text; `None` if it is absent: empty or `-`.
     pub fn get(&self) -> Option<&str> {
         Some(self.0.as_str()).filter(|text| !is_absent(text))
     }
--- a/crates/settings/src/wire_settings.rs
+++ b/crates/settings/src/wire_settings.rs
@@ -4,8 +4,8 @@
 use crate::value::{objects, or_default, present, section, Flag, Number, NumberList, Text};
 use serde::Deserialize;
 
-/// The settings that the program uses. Times are in seconds, and fractions and prices relative to one, unless
-/// stated otherwise.
+/// The settings that the program uses. Times are in seconds, and fractions are from 0 to 1, unless stated
+/// otherwise. An absent number is 0 unless stated otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireSettings {
@@ -23,7 +23,7 @@
     pub managers: Number,
     /// This manager's index in the fleet, from 0.
     pub position: Number,
-    /// `ask` if the endpoint list must be polled; any other value: it is pushed.
+    /// `ask` if the endpoint list must be polled; with any other value the list is pushed.
     pub discovery: Text,
     /// Index of this manager's own zone; a text that is not a whole number counts as absent.
     #[serde(rename = "az")]
@@ -34,10 +34,10 @@
     /// Names of machine kinds, by kind index.
     #[serde(rename = "shapes", deserialize_with = "or_default")]
     pub kind_names: Vec<Text>,
-    /// How engines report their load.
+    /// How engines report their load, and which values they report.
     #[serde(deserialize_with = "section")]
     pub load_report: WireLoadReport,
-    /// Properties of engines, and of the classes on them.
+    /// Properties of engines, and of the queries that run on them.
     #[serde(rename = "specifics", deserialize_with = "section")]
     pub engines: WireEngines,
     /// What the site allows, and its limits on attempts and connections.
@@ -49,7 +49,7 @@
     /// Penalties for probes, cross-zone attempts and new connections.
     #[serde(deserialize_with = "section")]
     pub prices: WirePrices,
-    /// Behavior of clients.
+    /// What clients are known to do.
     #[serde(deserialize_with = "section")]
     pub clients: WireClients,
 }
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireClass {
-    /// Name that clients send with a request.
+    /// Name of the class, which clients send with a request.
     pub name: Text,
     /// Value of a request whose response is in time; absent: 1.
     pub value: Number,
@@ -68,18 +68,18 @@
     /// Latency objective, without the part that depends on the work.
     #[serde(rename = "aim")]
     pub latency_objective: Number,
-    /// The latency objective grows by this factor times the work per thread.
+    /// The latency objective is extended by this factor times the request's work divided by its threads.
     #[serde(rename = "aimStretch")]
     pub objective_per_work: Number,
-    /// How long a client waits for a response.
+    /// How long a client waits for a response if its request sets no time-out.
     pub deadline: Number,
-    /// `read_like` or `idempotency_key`; any other value counts as not idempotent.
+    /// `read_like` (idempotent) or `idempotency_key` (idempotent by key); any other value: not idempotent.
     pub effect: Text,
     /// Scope of deduplication by idempotency key: `all` or `zone`; any other value: one cell.
     pub dedup_scope: Text,
-    /// How long duplicates are dropped.
+    /// Time within which retries with an idempotency key are deduplicated.
     pub repeat_window: Number,
-    /// Requests with the same key run one at a time.
+    /// Whether requests with the same idempotency key run one at a time.
     #[serde(rename = "inTurn")]
     pub ordered_by_key: Flag,
     /// Indices of the machine kinds that the class is restricted to; an empty list is a restriction, too.
@@ -94,25 +94,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireTenant {
-    /// Name that clients send with a request.
+    /// Name of the tenant, which clients send with a request.
     pub name: Text,
     /// Quota in requests per second; absent: unlimited.
     pub quota_per_s: Number,
 }
 
-/// How engines report their load.
+/// How engines report their load, and which values they report.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireLoadReport {
-    /// `piggyback` (with each answer) or `pull` (with load probes only); any other value: there are no load
-    /// reports.
+    /// `piggyback` (engines report with each answer) or `pull` (with load probes only); any other value:
+    /// engines do not report.
     pub via: Text,
-    /// Names of the values in a load report.
+    /// Names of the values in a load report, such as `rif` and `busy`.
     #[serde(deserialize_with = "or_default")]
     pub fields: Vec<Text>,
 }
 
-/// Properties of engines, and of the classes on them (`specifics`).
+/// Properties of engines, and the resources that queries of each class take on them (`specifics`).
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireEngines {
@@ -130,11 +130,12 @@
     /// Whether engines apply memory grants.
     #[serde(rename = "takesGrants")]
     pub applies_grants: Flag,
-    /// What queries do when memory is short: `trim` or `swap`; any other value: they wait.
+    /// What queries do when memory is short: `trim` (they run with less memory) or `swap` (the engine pages
+    /// memory out); any other value: they wait.
     pub memory_short: Text,
     /// Whether engines apply priorities.
     pub priorities: Flag,
-    /// Interval of progress notes; 0: there are none.
+    /// Interval between the progress notes on a query; 0: there are no progress notes.
     #[serde(rename = "progressPace")]
     pub progress_interval: Number,
     /// Whether responses report the cost of a query.
@@ -155,15 +156,15 @@
     pub peers: Flag,
     /// Whether rejections carry a Retry-After.
     pub retry_after: Flag,
-    /// Longest Retry-After.
+    /// Longest Retry-After that a rejection may carry; absent or 0: unlimited.
     pub max_retry_after: Number,
-    /// Maximum number of attempts per request; absent: 1.
+    /// Maximum number of attempts per request, including the first; absent: 1.
     pub max_attempts: Number,
-    /// Maximum number of concurrent attempts on one connection.
+    /// Maximum number of concurrent attempts on one connection to an engine; absent: the program's default.
     pub max_streams: Number,
-    /// Time that a connection to an engine may take to open.
+    /// Maximum time for opening a connection to an engine; absent: the program's default.
     pub connect_timeout: Number,
-    /// Time after which an idle connection to an engine is closed.
+    /// Time after which an idle connection to an engine is closed; absent: the program's default.
     #[serde(rename = "connIdle")]
     pub idle_timeout: Number,
 }
@@ -172,30 +173,30 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireInvariants {
-    /// Grace period after a drain notice, within which attempts to the engine must stop.
+    /// Time after a drain notice within which attempts on the draining engine must end.
     pub drain_grace: Number,
-    /// Multiple of its capacity above which load makes an engine in slow start fail; absent: 1.
+    /// An engine in slow start fails if its load exceeds this multiple of its capacity; absent: 1.
     #[serde(rename = "fallMultiple")]
     pub slow_start_multiple: Number,
-    /// Time for which an engine in slow start must be overloaded before it fails.
+    /// How long an engine in slow start must be overloaded before it fails.
     #[serde(rename = "overloadFor")]
     pub slow_start_window: Number,
-    /// Fraction of its capacity that an engine starts with; absent: 1.
+    /// Fraction of its full capacity with which an engine begins its slow start; absent: 1.
     #[serde(rename = "startCapacity")]
     pub initial_capacity_fraction: Number,
     /// Length of an engine's slow start.
     #[serde(rename = "cold")]
     pub slow_start_duration: Number,
-    /// Pause before the next attempt with an idempotency key after an attempt that may still run.
+    /// Pause between an attempt that may still run and the next attempt with the same idempotency key.
     #[serde(rename = "orderSettle")]
     pub key_settle_time: Number,
-    /// Window of the retry budget; absent: there is no budget.
+    /// Length of the window of the retry budget; absent: retries are not limited by a budget.
     #[serde(rename = "ratioSpan")]
     pub retry_window: Number,
-    /// Retries per window that are allowed regardless of the number of requests.
+    /// Number of retries per window that are allowed whatever the number of requests is.
     #[serde(rename = "freeResends")]
     pub free_retries: Number,
-    /// Retries allowed per admitted request.
+    /// Number of retries that are allowed in addition per admitted request.
     #[serde(rename = "budgetShare")]
     pub retries_per_request: Number,
 }
@@ -212,10 +213,10 @@
     pub handshake: Number,
 }
 
-/// Behavior of clients.
+/// What clients are known to do.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireClients {
-    /// Whether clients mark their retries.
+    /// Whether clients mark their retries, in the field `resent` of a request.
     pub marks_retry: Flag,
 }
--- a/crates/settings/tests/invalid_input.rs
+++ b/crates/settings/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Valid and invalid input, and the location that an error names.
+//! Tests of valid and invalid input, and of the location that an error names.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -107,13 +107,20 @@
 /// some hundred. A path of a million parts would also make a tree of that depth.
 #[test]
 fn pairs_beyond_the_bounds_are_rejected_or_skipped() {
-    let over = format!("customers.count={}", pairs::MAX_ITEMS + 1);
-    assert!(pairs::parse([over.as_str()].into_iter()).unwrap_err().reason.to_string().contains("is over"));
+    let over_limit = format!("customers.count={}", pairs::MAX_ITEMS + 1);
+    assert!(pairs::parse([over_limit.as_str()].into_iter())
+        .unwrap_err()
+        .reason
+        .to_string()
+        .contains("is over"));
     assert!(pairs::parse(["customers.count=1e300"].into_iter()).is_err());
     assert!(pairs::parse(["customers.count=-3"].into_iter()).expect("none").tenants.is_empty());
-    let deep = format!("{}=1", "a.".repeat(1_000_000));
+    let deep_path = format!("{}=1", "a.".repeat(1_000_000));
     assert!(
-        pairs::parse([deep.as_str(), "siblings=3"].into_iter()).expect("skipped").managers.unwrap_or(1.0)
+        pairs::parse([deep_path.as_str(), "siblings=3"].into_iter())
+            .expect("skipped")
+            .managers
+            .unwrap_or(1.0)
             == 3.0
     );
 }
@@ -157,17 +164,19 @@
 
 #[test]
 fn invalid_environment_variable_is_rejected_with_its_name() {
-    let read = |set: &[(&str, &str)]| {
-        Environment::read(|name| set.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned()))
+    let read = |variables: &[(&str, &str)]| {
+        Environment::read(|name| variables.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned()))
     };
     let all = read(&[("EDGE_CONFIG", "c.json"), ("EDGE_OPERATOR", "10.0.0.4:7002"), ("EDGE_FD", "5")]);
     let all = all.expect("read");
     assert_eq!((all.config.as_deref(), all.listener), (Some("c.json"), Some(5)));
     assert_eq!(all.admin_address.map(|a| a.to_string()).as_deref(), Some("10.0.0.4:7002"));
     assert_eq!(read(&[("EDGE_FD", ""), ("EDGE_OPERATOR", "")]).expect("absent"), Environment::default());
-    for (name, bad) in [("EDGE_FD", "2"), ("EDGE_FD", "-1"), ("EDGE_FD", "five"), ("EDGE_OPERATOR", "7002")] {
-        let e = read(&[(name, bad)]).unwrap_err().to_string();
-        assert!(e.starts_with(&format!("{name}: \"{bad}\"")), "{e}");
+    for (name, invalid) in
+        [("EDGE_FD", "2"), ("EDGE_FD", "-1"), ("EDGE_FD", "five"), ("EDGE_OPERATOR", "7002")]
+    {
+        let e = read(&[(name, invalid)]).unwrap_err().to_string();
+        assert!(e.starts_with(&format!("{name}: \"{invalid}\"")), "{e}");
     }
 }
 
--- a/crates/settings/tests/json_and_pairs.rs
+++ b/crates/settings/tests/json_and_pairs.rs
@@ -1,5 +1,5 @@
-//! Generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and if one form
-//! is rejected, so is the other.
+//! Tests with generated settings in both forms: nested JSON and `path=value` pairs give equal settings, and
+//! if one form is rejected, the other is rejected, too.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRunner};
@@ -7,7 +7,7 @@
 use sprucelink_settings::{pairs, PlatformConfig, WireSettings};
 use std::cell::Cell;
 
-/// A runner with a fixed seed: the same cases in every run.
+/// A runner with a fixed seed, so that every run has the same cases.
 fn runner(cases: u32) -> TestRunner {
     TestRunner::new(Config {
         cases,
@@ -38,9 +38,9 @@
     proptest::sample::select([&all[..], &[Value::Null, json!("-")]].concat())
 }
 
-fn text(known: &'static [&'static str]) -> impl Strategy<Value = Value> {
+fn text(words: &'static [&'static str]) -> impl Strategy<Value = Value> {
     prop_oneof![
-        6 => proptest::sample::select(known).prop_map(|w| json!(w)),
+        6 => proptest::sample::select(words).prop_map(|w| json!(w)),
         1 => Just(Value::Null),
         1 => Just(json!("")),
         1 => Just(json!("brand-new")),
@@ -48,10 +48,10 @@
     ]
 }
 
-fn list<S: Strategy<Value = Value> + 'static>(of: S) -> impl Strategy<Value = Value> {
+fn list<S: Strategy<Value = Value> + 'static>(item: S) -> impl Strategy<Value = Value> {
     prop_oneof![
         1 => Just(Value::Null),
-        5 => proptest::collection::vec(of, 0..5).prop_map(Value::Array),
+        5 => proptest::collection::vec(item, 0..5).prop_map(Value::Array),
     ]
 }
 
@@ -151,25 +151,26 @@
 
 /// Writes settings as pairs, as the simulator does.
 fn write_pairs(path: &str, value: &Value, out: &mut Vec<String>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
-    let plain = |v: &Value| match v {
+    let child_path = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let plain_text = |v: &Value| match v {
         Value::String(s) => s.clone(),
         Value::Null => "-".to_owned(),
         other => other.to_string(),
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, v)| write_pairs(&below(key), v, out)),
+        Value::Object(map) => map.iter().for_each(|(key, v)| write_pairs(&child_path(key), v, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.push(format!("{}={}", below("count"), items.len()));
-            items.iter().enumerate().for_each(|(i, v)| write_pairs(&below(&i.to_string()), v, out));
+            out.push(format!("{}={}", child_path("count"), items.len()));
+            items.iter().enumerate().for_each(|(i, v)| write_pairs(&child_path(&i.to_string()), v, out));
         }
         Value::Array(items) => {
-            out.push(format!("{path}={}", items.iter().map(plain).collect::<Vec<_>>().join(",")))
+            out.push(format!("{path}={}", items.iter().map(plain_text).collect::<Vec<_>>().join(",")))
         }
-        _ => out.push(format!("{path}={}", plain(value))),
+        _ => out.push(format!("{path}={}", plain_text(value))),
     }
 }
 
+/// Parses settings as JSON; the error is its path, and whether it has a line and column.
 fn from_json(settings: &Value) -> Result<WireSettings, (String, bool)> {
     let text = json!({"listen": "127.0.0.1:1", "seed": "a", "settings": settings});
     let text = serde_json::to_string_pretty(&text).expect("written");
@@ -194,10 +195,10 @@
             }
             // The two parsers may find different errors first, since they visit the fields of an object in
             // different orders.
-            (Err((path, placed)), Err(e)) => {
+            (Err((path, has_position)), Err(e)) => {
                 rejected.set(rejected.get() + 1);
                 prop_assert!(
-                    path.starts_with("settings.") && placed && !e.place.path.is_empty(),
+                    path.starts_with("settings.") && has_position && !e.place.path.is_empty(),
                     "{} {}",
                     path,
                     e
--- a/crates/settings/tests/settings_file.rs
+++ b/crates/settings/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! Operators' settings files: rejected input, and the location in the error.
+//! Tests of operators' settings files: accepted and rejected input, and the location in the error.
 
 use serde::Deserialize;
 use sprucelink_settings::{check_range, InvalidField, SettingsFile, SettingsFileError, Violation};
--- a/crates/settings/tests/unusual_sites.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -1,5 +1,5 @@
-//! Sites with unusual names, effects and limits: only the values determine the converted settings, and
-//! parsing one configuration leaves no state for the next.
+//! Tests of sites with unusual names, effects and limits: only the values determine the converted settings,
+//! and parsing one configuration leaves no state for the next one.
 
 use serde_json::{json, Value};
 use sprucelink_policy::{DedupGroup, Effect, TimeDelta};
@@ -33,14 +33,14 @@
 #[test]
 fn classes_of_an_unusual_site_are_converted_by_their_own_values() {
     let wire = read(&unusual_site()).settings;
-    let set = wire.to_policy_settings();
-    let effects: Vec<Effect> = set.classes.iter().map(|c| c.effect).collect();
+    let settings = wire.to_policy_settings();
+    let effects: Vec<Effect> = settings.classes.iter().map(|c| c.effect).collect();
     use Effect::{Keyed, Safe, Unsafe};
     assert_eq!(effects, [Safe, Keyed, Keyed, Unsafe, Keyed, Unsafe], "an unknown effect is not retried");
-    let groups: Vec<DedupGroup> = set.classes.iter().map(|c| c.group).collect();
+    let groups: Vec<DedupGroup> = settings.classes.iter().map(|c| c.group).collect();
     use DedupGroup::{All, Cell, Zone};
     assert_eq!(groups, [All, Zone, Cell, All, All, Cell], "an unknown scope is the narrowest");
-    let windows: Vec<i64> = set.classes.iter().map(|c| c.repeat_window.as_micros()).collect();
+    let windows: Vec<i64> = settings.classes.iter().map(|c| c.repeat_window.as_micros()).collect();
     // Windows shorter than the deadline, zero, and longer are used as configured.
     assert_eq!(windows, [0, 0, 1_000_000, 5_000_000, 30_000_000, 1_000_000]);
     let names: Vec<&str> = wire.classes.iter().map(|p| p.name.0.as_str()).collect();
@@ -49,34 +49,41 @@
         ["rate", "rate-2", "ra\"te\\\n,=\u{e9}", "all", "-", "true"],
         "names are not interpreted"
     );
-    assert!(!set.classes[0].loads_tables && set.classes[1].loads_tables && !set.classes[5].loads_tables);
-    assert!(set.classes.iter().all(|c| c.threads == 1.0));
-    let quotas: Vec<f64> = set.tenants.iter().map(|t| t.quota_per_s).collect();
+    assert!(
+        !settings.classes[0].loads_tables
+            && settings.classes[1].loads_tables
+            && !settings.classes[5].loads_tables
+    );
+    assert!(settings.classes.iter().all(|c| c.threads == 1.0));
+    let quotas: Vec<f64> = settings.tenants.iter().map(|t| t.quota_per_s).collect();
     assert_eq!(quotas, [f64::MAX, 0.0, 0.5]);
     assert_eq!(wire.zone_names.iter().map(|z| z.0.as_str()).collect::<Vec<_>>(), ["z", "z1", "z\"1"]);
     // A limit of zero differs from an absent limit.
-    assert_eq!((set.idle_timeout, set.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
-    let retry_budget = set.retry_budget.expect("configured");
+    assert_eq!((settings.idle_timeout, settings.drain_grace), (TimeDelta::ZERO, TimeDelta::ZERO));
+    let retry_budget = settings.retry_budget.expect("configured");
     assert_eq!(
         (retry_budget.window, retry_budget.free_retries, retry_budget.retries_per_request),
         (TimeDelta::ZERO, 0.0, 0.0)
     );
 }
 
-/// The site has no tenants, zones, limits and load reports.
+/// The configuration of the site has no tenants, zones, limits and load reports.
 #[test]
 fn site_without_optional_sections_gets_defaults() {
-    let set = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
+    let settings = read(&json!({"profiles": [{"name": "only"}], "customers": [], "zones": []}))
         .settings
         .to_policy_settings();
-    assert!(set.tenants.is_empty() && set.retry_budget.is_none() && set.zone.is_none());
-    assert_eq!((set.classes.len(), set.classes[0].effect, set.gateways), (1, Effect::Unsafe, 1));
-    assert_eq!((set.max_attempts, set.classes[0].repeat_window), (1, TimeDelta::ZERO));
-    assert!(set.classes[0].zones.is_none() && set.classes[0].kinds.is_none());
+    assert!(settings.tenants.is_empty() && settings.retry_budget.is_none() && settings.zone.is_none());
+    assert_eq!(
+        (settings.classes.len(), settings.classes[0].effect, settings.gateways),
+        (1, Effect::Unsafe, 1)
+    );
+    assert_eq!((settings.max_attempts, settings.classes[0].repeat_window), (1, TimeDelta::ZERO));
+    assert!(settings.classes[0].zones.is_none() && settings.classes[0].kinds.is_none());
 }
 
-/// Guards against state shared by parses: configurations are reloaded, and the simulator runs many instances
-/// in one process.
+/// Guards against state that is shared between parses: configurations are reloaded, and the simulator runs
+/// many instances in one process.
 #[test]
 fn parsing_one_configuration_leaves_no_state_for_the_next() {
     let (unusual, empty) = (unusual_site(), json!({}));
@@ -94,8 +101,8 @@
     }
 }
 
-/// Guards against polling the feed from a sequence number whose events are missing: it would never send the
-/// complete list, which is in its first event.
+/// A sequence number without the events up to it is ignored. Otherwise the feed would be polled from after
+/// that number and would never send its first event, which contains the complete list.
 #[test]
 fn event_number_without_events_is_ignored() {
     let known = |text: &str| {
