--- a/crates/admin/src/admission.rs
+++ b/crates/admin/src/admission.rs
@@ -41,7 +41,7 @@
 /// A connection that was admitted, and the connection that was evicted for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// The new connection.
+    /// Id of the new connection, which has a slot.
     pub id: ConnectionId,
     /// The connection that was evicted to free its slot; `None` if a slot was free.
     pub evicted: Option<ConnectionId>,
--- a/crates/metrics/src/request_accounting.rs
+++ b/crates/metrics/src/request_accounting.rs
@@ -20,7 +20,7 @@
     Abandoned,
 }
 
-/// Counters of a class.
+/// Counters of the requests of one class.
 #[derive(Debug, Default)]
 struct Account {
     started: AtomicValue,
@@ -73,7 +73,7 @@
 }
 
 impl RequestAccounting {
-    /// Creates the accounting for this number of classes.
+    /// Creates the accounting for `classes` request classes, with all counts 0.
     pub fn new(classes: usize) -> RequestAccounting {
         RequestAccounting {
             accounts: (0..classes).map(|_| Rc::default()).collect(),
--- a/crates/settings/src/platform_config.rs
+++ b/crates/settings/src/platform_config.rs
@@ -17,9 +17,9 @@
     pub name: String,
     /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Seed of the random number generator.
+    /// Seed of the manager's random number generators.
     pub seed: Seed,
-    /// Resource limits of the process.
+    /// Limits of the process on memory and file descriptors.
     #[serde(default, deserialize_with = "section")]
     pub limits: ProcessLimits,
     /// Address of the control feed, which sends the endpoint list; `None` if the configuration has none.
--- a/crates/settings/src/value/number.rs
+++ b/crates/settings/src/value/number.rs
@@ -12,7 +12,7 @@
     number.ok_or_else(|| E::invalid_value(Unexpected::Str(text), expected))
 }
 
-/// A number that may be absent; always finite.
+/// A finite number, or absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Number(pub Option<f64>);
 
--- a/crates/settings/src/wire_settings.rs
+++ b/crates/settings/src/wire_settings.rs
@@ -54,7 +54,7 @@
     pub clients: WireClients,
 }
 
-/// A request class.
+/// Settings of a request class.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireClass {
@@ -90,7 +90,7 @@
     pub zones: Option<NumberList>,
 }
 
-/// A tenant of the site.
+/// Settings of a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireTenant {
@@ -127,13 +127,13 @@
     /// Memory of each machine kind in MB, by kind index.
     #[serde(rename = "ramOfKindMb")]
     pub kind_memory_mb: NumberList,
-    /// Whether engines apply memory grants.
+    /// Whether engines apply the memory grants that managers send with queries.
     #[serde(rename = "takesGrants")]
     pub applies_grants: Flag,
     /// What queries do when memory is short: `trim` (they run with less memory) or `swap` (the engine pages
     /// memory out); any other value: they wait.
     pub memory_short: Text,
-    /// Whether engines apply priorities.
+    /// Whether engines apply the priority levels that managers send with queries.
     pub priorities: Flag,
     /// Interval between the progress notes on a query; 0: there are no progress notes.
     #[serde(rename = "progressPace")]
@@ -148,9 +148,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireLimits {
-    /// Whether attempts can be cancelled.
+    /// Whether managers can cancel attempts at engines.
     pub cancel: Flag,
-    /// Whether load probes are allowed.
+    /// Whether managers may send load probes to engines.
     pub probes: Flag,
     /// Whether managers may send each other messages.
     pub peers: Flag,
@@ -184,7 +184,7 @@
     /// Fraction of its full capacity with which an engine begins its slow start; absent: 1.
     #[serde(rename = "startCapacity")]
     pub initial_capacity_fraction: Number,
-    /// Length of an engine's slow start.
+    /// Time from the start of an engine for which the engine is in slow start.
     #[serde(rename = "cold")]
     pub slow_start_duration: Number,
     /// Pause between an attempt that may still run and the next attempt with the same idempotency key.
--- a/src/front/cancel_signal.rs
+++ b/src/front/cancel_signal.rs
@@ -8,7 +8,7 @@
 /// not read, cancels that request. Otherwise it has no effect, and must not cancel a later request.
 #[derive(Debug)]
 pub struct CancelSignal {
-    /// The secret key of BackendKeyData.
+    /// The secret key in the session's BackendKeyData, which a CancelRequest must repeat.
     secret: u32,
     is_requested: Cell<bool>,
     requested: Notify,
--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -13,7 +13,7 @@
     pub default_timeout: TimeDelta,
 }
 
-/// Configuration of one front.
+/// Limits, classes and protocol options of one front.
 #[derive(Clone, Debug)]
 pub struct FrontConfig {
     /// Request classes; the position is the class's index in the core.
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// The slots of a front.
+/// The slots for the connections of a front.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     states: RefCell<BTreeMap<u64, Rc<SlotState>>>,
--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -22,7 +22,7 @@
     None,
     /// Run a portal.
     Execute {
-        /// The portal's name.
+        /// The portal's name; empty for the unnamed portal.
         portal: String,
         /// Maximum number of rows to send; 0 means all rows.
         max_rows: u32,
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -47,7 +47,7 @@
     Sync,
     /// Write all output now.
     Flush,
-    /// The rest of a message of the extended query protocol.
+    /// Complete the handling of a message of the extended query protocol.
     Extended(ExtendedAction),
 }
 
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -26,7 +26,7 @@
     pub(super) slot: &'a ConnectionSlot,
     /// Time at which an incomplete message was first found at the end of the input; `None` if there is none.
     pub(super) partial_since: Option<Instant>,
-    /// Whether messages are skipped up to the next Sync.
+    /// Whether messages are skipped up to the next Sync, since a message of the batch failed.
     pub(super) skips_to_sync: bool,
     /// Prepared statements and portals, and the session's settings.
     pub(super) objects: SessionObjects,
--- a/src/front/session_end.rs
+++ b/src/front/session_end.rs
@@ -13,7 +13,7 @@
 pub enum SessionEndReason {
     /// The client closed its side, or sent Terminate.
     ClientClosed,
-    /// The connection failed.
+    /// Reading from the client or writing to it failed.
     ConnectionFailed,
     /// The session's slot was needed, or a hot restart closes idle sessions.
     Evicted,
@@ -28,7 +28,7 @@
 }
 
 impl SessionEndReason {
-    /// All reasons.
+    /// All reasons, for registering their counters.
     const ALL: [SessionEndReason; 7] = [
         SessionEndReason::ClientClosed,
         SessionEndReason::ConnectionFailed,
--- a/src/front/sessionless.rs
+++ b/src/front/sessionless.rs
@@ -20,7 +20,7 @@
     Handshaking,
 }
 
-/// The connections without a slot.
+/// Table of a front's connections without a slot.
 #[derive(Debug)]
 pub struct SessionlessConnections {
     states: RefCell<BTreeMap<u64, Rc<SessionlessState>>>,
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -22,7 +22,7 @@
 
 /// The content of a StartupMessage.
 pub struct SessionStart {
-    /// The minor version of the protocol that the client asks for.
+    /// The minor version of the protocol that the client asks for; only 0 is supported.
     pub minor: u16,
     /// Names and values of the start-up parameters.
     pub parameters: Vec<(String, String)>,
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -120,7 +120,7 @@
     },
     /// The answer to a health check.
     Pong,
-    /// An answer of an unknown kind.
+    /// An answer of an unknown kind, which cannot be used.
     Unknown,
 }
 
@@ -159,7 +159,7 @@
     pub memory_mb: f64,
 }
 
-/// One answer of an engine.
+/// One answer of an engine, decoded.
 #[derive(Clone, Debug)]
 pub struct EngineAnswer<'a> {
     /// Id of the request that the answer is for, as it was sent: 16 hexadecimal digits.
@@ -298,7 +298,8 @@
     Ok(report)
 }
 
-/// Splits a list into names and values.
+/// Splits a list of `name=value` items, with the given separator and assignment characters, into names and
+/// values.
 fn split_pairs(
     text: &str,
     separator: char,
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -21,7 +21,7 @@
     pub(super) const LIST_IS_COMPLETE: &str = "complete";
     /// An endpoint's id.
     pub(super) const ID: &str = "id";
-    /// The address that an endpoint listens on: host and port.
+    /// The address that an endpoint listens on: `host:port`.
     pub(super) const ADDRESS: &str = "host_port";
     /// Name of an endpoint's zone.
     pub(super) const ZONE: &str = "locality";
@@ -29,7 +29,7 @@
     pub(super) const MACHINE_KIND: &str = "flavor";
     /// Number of an endpoint's cell.
     pub(super) const CELL: &str = "cell";
-    /// Phase of an endpoint.
+    /// Phase of an endpoint: a value of [`super::phase`].
     pub(super) const PHASE: &str = "phase";
     /// Start time of an endpoint, in Unix milliseconds; absent if the endpoint did not start recently.
     pub(super) const UP_SINCE_MS: &str = "up_since_ms";
@@ -67,7 +67,7 @@
     NoId,
 }
 
-/// Phase of an endpoint.
+/// Phase of an endpoint, which determines whether it gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointPhase {
     /// The endpoint accepts requests.
@@ -83,13 +83,13 @@
 pub struct Endpoint {
     /// Id of the engine. Ids are not reused; addresses are.
     pub id: String,
-    /// The address that the engine listens on: host and port.
+    /// The address that the engine listens on, `host:port`; empty if the event gives none.
     pub address: String,
-    /// Name of the engine's zone.
+    /// Name of the engine's zone; empty if the event gives none.
     pub zone: String,
-    /// Name of the engine's machine kind.
+    /// Name of the engine's machine kind; empty if the event gives none.
     pub kind: String,
-    /// Number of the engine's cell.
+    /// Number of the engine's cell; 0 if the event gives none.
     pub cell: u32,
     /// Phase of the endpoint; an unknown phase counts as ready.
     pub phase: EndpointPhase,
--- a/src/proto/fields.rs
+++ b/src/proto/fields.rs
@@ -88,11 +88,11 @@
     pub tenant: Option<String>,
     /// Whether the request is a client's retry.
     pub is_retry: bool,
-    /// The idempotency key.
+    /// The idempotency key, 1 to 128 characters that need no quoting.
     pub idempotency_key: Option<String>,
-    /// The estimated work, in milliseconds on one core.
+    /// The client's estimate of the work, in milliseconds on one core.
     pub work_ms: Option<f64>,
-    /// The estimated memory, in MB.
+    /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<f64>,
 }
 
--- a/src/proto/pg/error.rs
+++ b/src/proto/pg/error.rs
@@ -11,9 +11,9 @@
     /// The client asks for an unsupported version of the protocol.
     #[error("field version is not 3.0 but {major}.{minor}")]
     Version {
-        /// The major version.
+        /// The major version that the client asks for.
         major: u16,
-        /// The minor version.
+        /// The minor version that the client asks for.
         minor: u16,
     },
     /// The length of a message is out of bounds.
@@ -48,7 +48,7 @@
 pub struct ErrorResponse {
     /// SQLSTATE of five characters (PostgreSQL, appendix A).
     pub code: &'static str,
-    /// Message for people.
+    /// Primary message, for people.
     pub message: String,
     /// Detail for programs, in the form `name=value`, if there is one.
     pub detail: Option<String>,
--- a/src/proto/pg/message.rs
+++ b/src/proto/pg/message.rs
@@ -9,7 +9,7 @@
 /// Minimum value of a message's length field, which counts its own 4 bytes.
 const MIN_LENGTH: usize = 4;
 
-/// Type bytes of the messages.
+/// Type bytes of the messages of clients.
 mod message_type {
     /// Query: a simple query.
     pub(super) const QUERY: u8 = b'Q';
@@ -66,9 +66,9 @@
     },
     /// Creates a portal from a statement.
     Bind {
-        /// The portal's name.
+        /// The portal's name; empty for the unnamed portal.
         portal: &'a str,
-        /// The statement's name.
+        /// The name of the prepared statement; empty for the unnamed statement.
         statement: &'a str,
         /// Format codes of the parameters: none (all are text), one for all, or one per parameter.
         formats: Vec<u16>,
@@ -77,16 +77,16 @@
         /// Format codes of the result's columns: none (all are text), one for all, or one per column.
         result_formats: Vec<u16>,
     },
-    /// Requests the parameters and columns of a statement or portal.
+    /// Requests the parameters and columns of the statement or portal with this name.
     Describe(ObjectKind, &'a str),
     /// Runs a portal.
     Execute {
-        /// The portal's name.
+        /// The portal's name; empty for the unnamed portal.
         portal: &'a str,
         /// Maximum number of rows to send; 0 means all rows.
         max_rows: u32,
     },
-    /// Closes a statement or portal.
+    /// Closes the statement or portal with this name.
     Close(ObjectKind, &'a str),
     /// Requests the answers that are still buffered.
     Flush,
--- a/src/run/certificates/mod.rs
+++ b/src/run/certificates/mod.rs
@@ -44,7 +44,7 @@
 pub struct RetryBackoff {
     /// Pause after the first failure.
     pub first: Duration,
-    /// Upper limit of the pauses.
+    /// Maximum pause, however many orders have failed.
     pub max: Duration,
 }
 
--- a/src/run/certificates/store.rs
+++ b/src/run/certificates/store.rs
@@ -58,7 +58,7 @@
     write_private(&folder.join(ACCOUNT_FILE), &text)
 }
 
-/// Replaces a file atomically.
+/// Replaces a file atomically, with access for its owner only.
 fn write_private(path: &Path, text: &str) -> io::Result<()> {
     let temporary = path.with_extension("new");
     let mut file =
--- a/src/run/cli/error.rs
+++ b/src/run/cli/error.rs
@@ -58,7 +58,7 @@
     InvalidAddress {
         /// The sub-command.
         command: &'static str,
-        /// The argument.
+        /// The invalid argument.
         argument: String,
     },
 }
--- a/src/run/cli/options.rs
+++ b/src/run/cli/options.rs
@@ -44,7 +44,7 @@
     },
     /// Print a statement's fingerprint.
     ShapesExplain {
-        /// The statement.
+        /// Text of the statement.
         statement: String,
         /// Print JSON.
         json: bool,
@@ -122,7 +122,7 @@
     pub value: String,
 }
 
-/// Options of a replay.
+/// Options of `replay`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayOptions {
     /// The capture: a file or a folder.
@@ -143,7 +143,7 @@
     pub json: bool,
 }
 
-/// Options of cutting a test case out of a capture.
+/// Options of `capture cut`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CutOptions {
     /// The capture: a file or a folder.
@@ -154,7 +154,7 @@
     pub before_s: f64,
     /// Seconds kept after `around`.
     pub after_s: f64,
-    /// The file to write.
+    /// Path of the file to which the case is written.
     pub out: PathBuf,
     /// Rules that a replay of the case must satisfy.
     pub rules: Vec<Rule>,
--- a/src/run/commands/error.rs
+++ b/src/run/commands/error.rs
@@ -22,7 +22,7 @@
     /// A manager's membership did not answer.
     #[error("{address}")]
     FleetMembers {
-        /// Address of the membership.
+        /// UDP address of the membership that was queried.
         address: SocketAddr,
         /// Reason why no answer arrived.
         source: io::Error,
@@ -54,7 +54,7 @@
     /// The capture holds nothing about the request, engine or instant.
     #[error("the capture holds nothing about the requested subject")]
     NothingFound,
-    /// A case is damaged.
+    /// A file with test cases is damaged.
     #[error("{file}: damaged at byte {offset}: {reason}", file = file.display())]
     Damaged {
         /// Path of the file.
--- a/src/run/logging.rs
+++ b/src/run/logging.rs
@@ -46,7 +46,7 @@
 /// Format and minimum level of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Logging {
-    /// Text or JSON; text by default.
+    /// Format of the lines; text by default.
     pub format: Format,
     /// The least severe level that is written; `INFO` by default.
     pub level: Level,
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -41,7 +41,7 @@
 /// Settings by which the managers of the fleet divide their budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// Configured number of managers.
+    /// Configured number of managers in the fleet.
     pub managers: u32,
     /// Retry budget of each manager; `None` if there is no budget.
     pub retry_budget: Option<RetryBudgetSettings>,
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -27,13 +27,13 @@
 const DEFAULT_MAX_RETRY_S: f64 = 3_600.0;
 /// Longest duration that the file may set, in seconds: a leap year.
 const MAX_SECONDS: f64 = 366.0 * 86_400.0;
-/// Fields of the file.
+/// Names of the fields that the file may have.
 const FIELDS: [&str; 6] = ["listen", "max_sessions", "default_class", "default_tenant", "tls", "acme"];
-/// Fields of the file under `acme`.
+/// Names of the fields that the file may have under `acme`.
 const ACME_FIELDS: [&str; 8] =
     ["directory", "trust_root", "names", "contact", "challenge_listen", "store", "renew_before_s", "retry_s"];
 
-/// Configuration of the second front.
+/// Settings of the second front, as read from the operator's file.
 #[derive(Debug)]
 pub struct SecondFrontConfig {
     /// Address on which clients of the second front connect.
@@ -62,7 +62,7 @@
     /// A field is invalid.
     #[error("operator's file: {field}: {reason}")]
     Field {
-        /// The field's path.
+        /// Path of the field, such as `acme.names`.
         field: String,
         /// Reason why the field is invalid.
         reason: FieldError,
@@ -89,10 +89,10 @@
     /// The format of the file has no field of this name.
     #[error("is not known")]
     Unknown,
-    /// An object is expected.
+    /// The value is not an object.
     #[error("is no object")]
     NotAnObject,
-    /// A list of strings is expected.
+    /// The value is not a list of strings.
     #[error("is not a list of strings")]
     NotAListOfTexts,
     /// The configuration has no class or tenant of this name.
@@ -107,7 +107,7 @@
     /// The TLS mode is unknown, or it is `required` without certificates.
     #[error("is neither allowed nor required, or acme is missing")]
     TlsMode,
-    /// The authority's directory is absent or not reached over HTTPS.
+    /// The URL of the authority's directory is absent, or does not begin with `https://`.
     #[error("is missing, or not https")]
     Directory,
     /// The list of names to certify is empty.
--- a/src/run/serve/startup.rs
+++ b/src/run/serve/startup.rs
@@ -32,7 +32,7 @@
     pub core: Rc<Core>,
     /// The task that drives the core's clock; it ends only by a fault of the program.
     pub core_task: JoinHandle<()>,
-    /// Gossip between managers, if enabled.
+    /// The running membership, if it is enabled.
     pub membership: Option<MembershipHandle>,
     /// This process's part in hot restarts; present if the platform passed on the listening socket.
     pub hot_restart: Option<Rc<HotRestartDriver>>,
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -30,7 +30,7 @@
         /// The operating system's reason.
         source: io::Error,
     },
-    /// A file's content is invalid.
+    /// A file can be read, but its content is invalid.
     #[error("{path}")]
     Invalid {
         /// Path of the file.
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -31,7 +31,7 @@
     Read {
         /// Number of the line, from 1.
         line: usize,
-        /// The error of the input.
+        /// Error of reading the input.
         source: io::Error,
     },
     /// A line is invalid, or contradicts the lines before it.
@@ -123,7 +123,7 @@
         id
     }
 
-    /// The name of an engine on the wire.
+    /// The name of an engine on the wire; `-` if the number is unknown.
     fn engine_name(&self, id: EngineId) -> &str {
         self.engine_names.get(id.0 as usize).map_or("-", String::as_str)
     }
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -71,7 +71,7 @@
         /// Number of the engine list that holds the entries; 0 if the update has failed.
         list: usize,
     },
-    /// A load probe of an instance ended.
+    /// A load probe that an instance sent has ended.
     ProbeCompleted {
         /// Name of the instance that sent the probe.
         instance: String,
@@ -82,7 +82,7 @@
         /// The engine's load report; empty if the line has none.
         report: LoadReport,
     },
-    /// Any other event of an instance.
+    /// An event of an instance that needs no translation of engine names.
     Event {
         /// Name of the instance.
         instance: String,
--- a/src/simulator/codec/names.rs
+++ b/src/simulator/codec/names.rs
@@ -38,7 +38,7 @@
 pub(super) mod sent {
     /// Forward an attempt to an engine.
     pub(crate) const FORWARD_ATTEMPT: &str = "SEND";
-    /// Set the memory grant and the priority level.
+    /// Set the memory grant and the priority level of an attempt.
     pub(crate) const EXECUTION_TERMS: &str = "TUNE";
     /// Cancel an attempt.
     pub(crate) const CANCEL: &str = "CALL_OFF";
@@ -66,39 +66,39 @@
 
 /// Names of fields, which errors quote.
 pub(super) mod field {
-    /// The instance that a line concerns.
+    /// Name of the instance that a line concerns.
     pub(crate) const INSTANCE: &str = "who";
-    /// A request's id.
+    /// A request's id: 16 hexadecimal digits.
     pub(crate) const REQUEST_ID: &str = "id";
     /// The simulated time, in seconds.
     pub(crate) const NOW: &str = "moment";
-    /// A batch's number.
+    /// A batch's number, which the reply repeats.
     pub(crate) const BATCH: &str = "n";
-    /// An engine list's number.
+    /// Number of an engine list, by which endpoint updates refer to it.
     pub(crate) const LIST: &str = "page";
     /// Number of entries of an engine list.
     pub(crate) const LIST_ENTRIES: &str = "elements";
-    /// An instance's seed.
+    /// Seed of an instance's random numbers.
     pub(crate) const SEED: &str = "randomSeed";
     /// An engine's name.
     pub(crate) const ENGINE: &str = "engine";
-    /// An engine's zone.
+    /// Index of an engine's zone.
     pub(crate) const ZONE: &str = "site";
-    /// An engine's machine kind.
+    /// Index of an engine's machine kind.
     pub(crate) const MACHINE_KIND: &str = "machine";
-    /// An engine's cell.
+    /// Number of an engine's cell.
     pub(crate) const CELL: &str = "pod";
     /// Start time of an engine's process, in seconds.
     pub(crate) const STARTED_AT: &str = "since";
-    /// The kind of an endpoint update.
+    /// The kind of an endpoint update: a value of [`super::update_kind`].
     pub(crate) const UPDATE_KIND: &str = "form";
-    /// A request's tenant.
+    /// Index of a request's tenant.
     pub(crate) const TENANT: &str = "billing";
-    /// The group of tables that a request reads or writes.
+    /// Number of the group of tables that a request reads or writes.
     pub(crate) const TABLES: &str = "sourceSet";
     /// Time that a request's client will still wait, in seconds.
     pub(crate) const TIME_LEFT: &str = "timeLeft";
-    /// A request's class.
+    /// Index of a request's class.
     pub(crate) const CLASS: &str = "profile";
     /// A request's estimated work, in thread-seconds.
     pub(crate) const ESTIMATED_COST: &str = "expected";
@@ -106,24 +106,24 @@
     pub(crate) const ESTIMATED_MEMORY: &str = "memMb";
     /// The number of an attempt of a request.
     pub(crate) const ATTEMPT: &str = "attempt";
-    /// The kind of a progress note.
+    /// The kind of a progress note: a value of [`super::note_kind`].
     pub(crate) const NOTE_KIND: &str = "topic";
-    /// The value of a progress note.
+    /// The value of a progress note; the kind of the note defines its meaning and unit.
     pub(crate) const NOTE_VALUE: &str = "value";
-    /// Outcome of an attempt or a load probe.
+    /// Outcome of an attempt or a load probe: a value of [`super::outcome`].
     pub(crate) const OUTCOME: &str = "disposition";
     /// Latency of an attempt, in seconds.
     pub(crate) const LATENCY: &str = "lag";
     /// Whether the client has received its response.
     pub(crate) const COMPLETE: &str = "complete";
-    /// The resources that a query used.
+    /// The work and the memory that a query used, encoded as one number.
     pub(crate) const QUERY_COST: &str = "bill";
-    /// An engine's load report.
+    /// An engine's load report: `name:value` pairs separated by commas.
     pub(crate) const LOAD_REPORT: &str = "pressure";
     /// The number that identifies a timer: [`super::sent::START_TIMER`] carries it, and
     /// [`super::received::TIMER`] returns it.
     pub(crate) const TIMER_TOKEN: &str = "handle";
-    /// The manager that sent a message.
+    /// Number of the manager that sent a message.
     pub(crate) const SENDER: &str = "src";
     /// A message's bytes, in hex.
     pub(crate) const MESSAGE: &str = "blob";
@@ -151,7 +151,7 @@
 
 /// Values of a progress note's kind.
 pub(super) mod note_kind {
-    /// Completed fraction of the work.
+    /// Completed fraction of the work, from 0 to 1.
     pub(crate) const PROGRESS: u64 = 1;
     /// Memory that the query lacks, in MB.
     pub(crate) const MISSING_MEMORY: u64 = 2;
