--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -9,7 +9,7 @@
 use super::engine_indices::EngineIndices;
 use super::request::RequestSpec;
 use super::wall_clock::WallClock;
-use crate::proto::engine_answer::{LoadStats, QueryCost, UpdateTopic};
+use crate::proto::engine_answer::{EngineLoadReport, NoteTopic, QueryCost};
 use crate::proto::events::{EndpointPhase, ListEvent};
 use sprucelink_capture::recorder::{Recorder, RecorderCounters};
 use sprucelink_policy::diagnostics::EngineView;
@@ -185,12 +185,12 @@
     }
 
     fn list_event(&mut self, list: &ListEvent, is_cached: bool) -> Event {
-        let kind = match (is_cached, list.complete) {
+        let kind = match (is_cached, list.is_complete) {
             (true, true) => EndpointUpdate::Remembered,
             (false, true) => EndpointUpdate::Complete,
             (_, false) => EndpointUpdate::Changes,
         };
-        let entries = list.members.iter().map(|member| EngineEntry {
+        let entries = list.endpoints.iter().map(|member| EngineEntry {
             engine: EngineId(self.engine_indices.get_or_assign(&member.id)),
             zone: index_of(&self.zones, &member.zone),
             kind: index_of(&self.kinds, &member.kind),
@@ -279,12 +279,12 @@
 
 /// Converts a progress note to the policy's type. The value of a `waiting` note is 1 for memory and 2 for a
 /// load.
-fn progress_note(topic: UpdateTopic, value: f64) -> ProgressNote {
+fn progress_note(topic: NoteTopic, value: f64) -> ProgressNote {
     match topic {
-        UpdateTopic::Progress => ProgressNote::Progress(value),
-        UpdateTopic::MissingMemory => ProgressNote::Spills(value),
-        UpdateTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
-        UpdateTopic::Waiting => ProgressNote::WaitsForMemory,
+        NoteTopic::Progress => ProgressNote::Progress(value),
+        NoteTopic::MissingMemory => ProgressNote::Spills(value),
+        NoteTopic::Waiting if value >= 2.0 => ProgressNote::WaitsForLoad,
+        NoteTopic::Waiting => ProgressNote::WaitsForMemory,
     }
 }
 
@@ -294,13 +294,13 @@
 }
 
 /// Converts a load report to the policy's type.
-fn policy_report(stats: &LoadStats) -> LoadReport {
+fn policy_report(report: &EngineLoadReport) -> LoadReport {
     LoadReport {
-        queries_in_flight: stats.in_flight,
-        queries_waiting_for_memory: stats.queued,
-        busy_core_fraction: stats.cpu_utilization,
-        granted_memory_fraction: stats.memory_utilization,
-        busy_disk_fraction: stats.disk_utilization,
+        queries_in_flight: report.in_flight,
+        queries_waiting_for_memory: report.waiting_for_memory,
+        busy_core_fraction: report.cpu_utilization,
+        granted_memory_fraction: report.memory_utilization,
+        busy_disk_fraction: report.disk_utilization,
     }
 }
 
--- a/src/front/session_end.rs
+++ b/src/front/session_end.rs
@@ -13,7 +13,7 @@
 pub enum SessionEndReason {
     /// The client closed its side, or sent Terminate.
     ClientClosed,
-    /// The connection failed.
+    /// Reading from the client or writing to it failed.
     ConnectionFailed,
     /// The session's slot was needed, or a hot restart closes idle sessions.
     Evicted,
@@ -28,7 +28,7 @@
 }
 
 impl SessionEndReason {
-    /// All reasons.
+    /// All reasons, for registering their counters.
     const ALL: [SessionEndReason; 7] = [
         SessionEndReason::ClientClosed,
         SessionEndReason::ConnectionFailed,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The end of a session.
+/// Why a session ends, and its final error.
 #[derive(Debug)]
 pub(super) struct SessionEnd {
     /// Reason why the session ends.
@@ -63,12 +63,12 @@
 }
 
 impl SessionEnd {
-    /// An end without a final error.
+    /// Creates the end of a session without a final error.
     pub(super) fn silent(reason: SessionEndReason) -> SessionEnd {
         SessionEnd { reason, error: None }
     }
 
-    /// An end with a final error.
+    /// Creates the end of a session with a final error.
     pub(super) fn with_error(reason: SessionEndReason, error: ErrorResponse) -> SessionEnd {
         SessionEnd { reason, error: Some(error) }
     }
--- a/src/front/startup.rs
+++ b/src/front/startup.rs
@@ -22,7 +22,7 @@
 
 /// The content of a StartupMessage.
 pub struct SessionStart {
-    /// The minor version of the protocol that the client asks for.
+    /// The minor version of the protocol that the client asks for; only 0 is supported.
     pub minor: u16,
     /// Names and values of the start-up parameters.
     pub parameters: Vec<(String, String)>,
@@ -37,13 +37,13 @@
     Tls,
 }
 
-/// Outcome of the packets before a session.
+/// Result of handling the packets before a session.
 pub(super) enum StartupOutcome {
     /// The client starts a session.
     Session(SessionStart),
     /// A TLS handshake follows.
     StartTls(TlsAcceptor),
-    /// The connection is closed, after an error if there is one.
+    /// The connection must be closed, after sending the error if there is one.
     Close(Option<ErrorResponse>),
 }
 
--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -4,7 +4,8 @@
 
 /// Number of columns in each row of a result.
 pub const COLUMNS: usize = 3;
-/// Maximum number of pages of a result; a result of 48,000 bytes in complete rows needs far fewer.
+/// Maximum number of pages of a result; the longest result that is accepted (48,000 bytes in complete rows)
+/// needs far fewer.
 const MAX_PAGES: usize = 64;
 /// Placeholder for an empty list of fields.
 const NO_FIELDS: &str = "-";
@@ -20,8 +21,8 @@
     /// The attempt was unknown or cancelled; the query did not run.
     pub(super) const NOT_RUN: &[u8] = b"nobody";
     /// A progress note of a query that is running.
-    pub(super) const UPDATE: &[u8] = b"update";
-    /// A further page of a result.
+    pub(super) const PROGRESS_NOTE: &[u8] = b"update";
+    /// A further page of a result, which was requested with the command `page`.
     pub(super) const PAGE: &[u8] = b"rows";
     /// The answer to a health check.
     pub(super) const PONG: &[u8] = b"green";
@@ -41,37 +42,37 @@
     /// Memory that the query used, in MB.
     pub(super) const MEMORY_MB: &str = "used";
     /// Value of a progress note; the note's topic defines its meaning and unit.
-    pub(super) const UPDATE_VALUE: &str = "num";
+    pub(super) const NOTE_VALUE: &str = "num";
     /// Topic of a progress note.
-    pub(super) const UPDATE_TOPIC: &str = "how";
+    pub(super) const NOTE_TOPIC: &str = "how";
 }
 
-/// Values of the field [`field::UPDATE_TOPIC`].
+/// Values of the field [`field::NOTE_TOPIC`].
 mod topic {
     /// Completed fraction of the work, from 0 to 1.
     pub(super) const PROGRESS: &str = "so_far";
     /// Memory that the query lacks, in MB.
     pub(super) const MISSING_MEMORY: &str = "lacking";
-    /// Reason why the query waits: 1 for memory, 2 for a load on its tables.
+    /// Reason why the query waits: 1 for memory, 2 for a bulk load into its tables to end.
     pub(super) const WAITING: &str = "waiting";
 }
 
-/// Reason why an engine's answer cannot be used. The connection that it came on is closed.
+/// Reason why an engine's answer cannot be used. The connection on which the answer arrived is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EngineAnswerError {
     /// The answer lacks this part, or this field, which answers of its kind require.
     #[error("field {0} is missing")]
     Missing(&'static str),
-    /// The id is not one that was sent.
+    /// The id does not have the format of a request's id.
     #[error("field id is not 16 hex digits")]
     InvalidId,
-    /// The kind of the answer is unknown.
+    /// The second part of the answer is not a known kind.
     #[error("field word is not known")]
     UnknownWord,
     /// The fields are not UTF-8.
     #[error("field fields are not text")]
     FieldsNotText,
-    /// One of the fields has no value.
+    /// One of the fields, or of the values in the load report, is a name without a value.
     #[error("field fields hold one without a value")]
     FieldWithoutValue,
     /// The field is not a finite number of 0 or more.
@@ -96,7 +97,7 @@
 pub enum AnswerKind {
     /// The query has completed; the body is the first page.
     Completed {
-        /// Number of pages of the result, including the first.
+        /// Number of pages of the result, including the first; at least 1.
         pages: usize,
     },
     /// The engine is overloaded; the query did not run.
@@ -106,9 +107,9 @@
     /// The attempt was unknown or cancelled; the query did not run.
     NotRun,
     /// A progress note: the query is still running.
-    Update {
-        /// Quantity that the update reports; `None` if the topic is unknown.
-        topic: Option<UpdateTopic>,
+    ProgressNote {
+        /// Quantity that the note reports; `None` if the topic is unknown.
+        topic: Option<NoteTopic>,
         /// Value of the quantity, in the unit of the topic.
         value: f64,
     },
@@ -119,28 +120,28 @@
     },
     /// The answer to a health check.
     Pong,
-    /// An answer of an unknown kind.
+    /// An answer of an unknown kind, which cannot be used.
     Unknown,
 }
 
-/// Quantity that an update reports.
+/// Quantity that a progress note reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpdateTopic {
+pub enum NoteTopic {
     /// Completed fraction of the work, from 0 to 1.
     Progress,
     /// Memory that the query lacks, in MB.
     MissingMemory,
-    /// Reason why the query waits: 1 for memory, 2 for a load on its tables.
+    /// Reason why the query waits: 1 for memory, 2 for a bulk load into its tables to end.
     Waiting,
 }
 
-/// The load report of an engine; values that it omits are `None`.
+/// The load report of an engine; values that the report omits are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadStats {
+pub struct EngineLoadReport {
     /// Number of queries in flight at the engine.
     pub in_flight: Option<f64>,
     /// Number of queries that wait for memory.
-    pub queued: Option<f64>,
+    pub waiting_for_memory: Option<f64>,
     /// Fraction of the cores in use, from 0 to 1.
     pub cpu_utilization: Option<f64>,
     /// Fraction of the memory that is granted, from 0 to 1.
@@ -152,35 +153,35 @@
 /// Resources that a query used, as its engine reports them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryCost {
-    /// Work in milliseconds on one core.
+    /// Work, in milliseconds on one core.
     pub work_ms: f64,
-    /// Memory in MB.
+    /// Memory that the query used, in MB; 0 if the engine does not report it.
     pub memory_mb: f64,
 }
 
-/// One answer of an engine.
+/// One answer of an engine, decoded.
 #[derive(Clone, Debug)]
 pub struct EngineAnswer<'a> {
-    /// The request's id, as it was sent.
+    /// Id of the request that the answer is for, as it was sent: 16 hexadecimal digits.
     pub id: &'a [u8],
     /// Kind of the answer, with the values of that kind.
     pub kind: AnswerKind,
     /// The engine's load report; empty if the answer has none.
-    pub stats: LoadStats,
+    pub load_report: EngineLoadReport,
     /// Resources that the query used, if the engine reports them.
     pub cost: Option<QueryCost>,
     /// A page of the result; empty in answers without one.
     pub body: &'a [u8],
 }
 
-/// The fields of an answer.
+/// The known fields of an answer.
 #[derive(Default)]
 struct AnswerFields {
     page_count: Option<usize>,
     page_number: Option<usize>,
-    update_topic: Option<UpdateTopic>,
-    update_value: f64,
-    stats: LoadStats,
+    note_topic: Option<NoteTopic>,
+    note_value: f64,
+    load_report: EngineLoadReport,
     cpu_ms: Option<f64>,
     memory_mb: Option<f64>,
 }
@@ -188,7 +189,8 @@
 /// Decodes the parts of an array as an engine's answer. Unknown fields are ignored.
 ///
 /// # Errors
-/// If a known field cannot be read. Ignoring it could present a part of a result as the complete result.
+/// If a known field cannot be read. If it were ignored, a part of a result could pass for the complete
+/// result.
 pub fn read_answer<'a>(parts: &[&'a [u8]]) -> Result<EngineAnswer<'a>, EngineAnswerError> {
     let [id, name, rest @ ..] = parts else { return Err(EngineAnswerError::Missing("word")) };
     let text = rest.first().copied().unwrap_or(NO_FIELDS.as_bytes());
@@ -203,7 +205,9 @@
         answer_name::OVERLOADED => AnswerKind::Overloaded,
         answer_name::CRASHED => AnswerKind::Crashed,
         answer_name::NOT_RUN => AnswerKind::NotRun,
-        answer_name::UPDATE => AnswerKind::Update { topic: fields.update_topic, value: fields.update_value },
+        answer_name::PROGRESS_NOTE => {
+            AnswerKind::ProgressNote { topic: fields.note_topic, value: fields.note_value }
+        }
         answer_name::PAGE => {
             let number = fields.page_number.ok_or(EngineAnswerError::Missing(field::PAGE_NUMBER))?;
             AnswerKind::Page { number }
@@ -213,7 +217,7 @@
     };
     let memory_mb = fields.memory_mb.unwrap_or(0.0);
     let cost = fields.cpu_ms.map(|work_ms| QueryCost { work_ms, memory_mb });
-    Ok(EngineAnswer { id, kind, stats: fields.stats, cost, body })
+    Ok(EngineAnswer { id, kind, load_report: fields.load_report, cost, body })
 }
 
 /// Whether a page's body is UTF-8 text in complete rows of [`COLUMNS`] columns, as the engines' protocol
@@ -232,38 +236,38 @@
         match name {
             field::PAGE_COUNT => fields.page_count = Some(read_page_number(field::PAGE_COUNT, value)?),
             field::PAGE_NUMBER => fields.page_number = Some(read_page_number(field::PAGE_NUMBER, value)?),
-            field::LOAD_REPORT => fields.stats = read_stats(value)?,
+            field::LOAD_REPORT => fields.load_report = read_load_report(value)?,
             field::CPU_MS => fields.cpu_ms = Some(read_number(field::CPU_MS, value)?),
             field::MEMORY_MB => fields.memory_mb = Some(read_number(field::MEMORY_MB, value)?),
-            field::UPDATE_VALUE => fields.update_value = read_number(field::UPDATE_VALUE, value)?,
-            field::UPDATE_TOPIC => fields.update_topic = read_topic(value),
+            field::NOTE_VALUE => fields.note_value = read_number(field::NOTE_VALUE, value)?,
+            field::NOTE_TOPIC => fields.note_topic = read_topic(value),
             _ => {}
         }
     }
     Ok(fields)
 }
 
-/// The topic of an update; `None` if it is unknown.
-fn read_topic(value: &str) -> Option<UpdateTopic> {
+/// The topic of a progress note; `None` if it is unknown.
+fn read_topic(value: &str) -> Option<NoteTopic> {
     match value {
-        topic::PROGRESS => Some(UpdateTopic::Progress),
-        topic::MISSING_MEMORY => Some(UpdateTopic::MissingMemory),
-        topic::WAITING => Some(UpdateTopic::Waiting),
+        topic::PROGRESS => Some(NoteTopic::Progress),
+        topic::MISSING_MEMORY => Some(NoteTopic::MissingMemory),
+        topic::WAITING => Some(NoteTopic::Waiting),
         _ => None,
     }
 }
 
-/// Names of the values of a load report on the wire. One generation of engines writes the names, the other
-/// the aliases.
+/// Names of the values of a load report on the wire. One generation of engines writes the names, another
+/// generation the aliases.
 mod load_report {
     /// Queries in flight at the engine.
     pub(super) const IN_FLIGHT: &str = "inflight";
     /// Alias of [`IN_FLIGHT`].
     pub(super) const IN_FLIGHT_ALIAS: &str = "rif";
     /// Queries that wait for memory.
-    pub(super) const QUEUED: &str = "queue";
-    /// Alias of [`QUEUED`].
-    pub(super) const QUEUED_ALIAS: &str = "q";
+    pub(super) const WAITING_FOR_MEMORY: &str = "queue";
+    /// Alias of [`WAITING_FOR_MEMORY`].
+    pub(super) const WAITING_FOR_MEMORY_ALIAS: &str = "q";
     /// Fraction of the cores in use, from 0 to 1.
     pub(super) const CPU_UTILIZATION: &str = "util";
     /// Alias of [`CPU_UTILIZATION`].
@@ -275,24 +279,27 @@
 }
 
 /// Reads a load report, `name:value;name:value`, in the names of both generations of engines.
-fn read_stats(text: &str) -> Result<LoadStats, EngineAnswerError> {
-    let mut stats = LoadStats::default();
+fn read_load_report(text: &str) -> Result<EngineLoadReport, EngineAnswerError> {
+    let mut report = EngineLoadReport::default();
     for pair in split_pairs(text, ';', ':') {
         let (name, value) = pair?;
         let target = match name {
-            load_report::IN_FLIGHT | load_report::IN_FLIGHT_ALIAS => &mut stats.in_flight,
-            load_report::QUEUED | load_report::QUEUED_ALIAS => &mut stats.queued,
-            load_report::CPU_UTILIZATION | load_report::CPU_UTILIZATION_ALIAS => &mut stats.cpu_utilization,
-            load_report::MEMORY_UTILIZATION => &mut stats.memory_utilization,
-            load_report::DISK_UTILIZATION => &mut stats.disk_utilization,
+            load_report::IN_FLIGHT | load_report::IN_FLIGHT_ALIAS => &mut report.in_flight,
+            load_report::WAITING_FOR_MEMORY | load_report::WAITING_FOR_MEMORY_ALIAS => {
+                &mut report.waiting_for_memory
+            }
+            load_report::CPU_UTILIZATION | load_report::CPU_UTILIZATION_ALIAS => &mut report.cpu_utilization,
+            load_report::MEMORY_UTILIZATION => &mut report.memory_utilization,
+            load_report::DISK_UTILIZATION => &mut report.disk_utilization,
             _ => continue,
         };
         *target = Some(read_number(field::LOAD_REPORT, value)?);
     }
-    Ok(stats)
+    Ok(report)
 }
 
-/// Splits a list into names and values.
+/// Splits a list of `name=value` items, with the given separator and assignment characters, into names and
+/// values.
 fn split_pairs(
     text: &str,
     separator: char,
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -11,7 +11,7 @@
 mod field {
     /// The event's number, counted from 1 since the feed's start.
     pub(super) const NUMBER: &str = "n";
-    /// The change of the endpoint list; absent from other events.
+    /// The change of the endpoint list; absent from events of other kinds.
     pub(super) const LIST: &str = "members";
     /// The endpoints of a list.
     pub(super) const LIST_ENDPOINTS: &str = "members";
@@ -21,7 +21,7 @@
     pub(super) const LIST_IS_COMPLETE: &str = "complete";
     /// An endpoint's id.
     pub(super) const ID: &str = "id";
-    /// The address that an endpoint listens on: host and port.
+    /// The address that an endpoint listens on: `host:port`.
     pub(super) const ADDRESS: &str = "host_port";
     /// Name of an endpoint's zone.
     pub(super) const ZONE: &str = "locality";
@@ -29,9 +29,9 @@
     pub(super) const MACHINE_KIND: &str = "flavor";
     /// Number of an endpoint's cell.
     pub(super) const CELL: &str = "cell";
-    /// Phase of an endpoint.
+    /// Phase of an endpoint: a value of [`super::phase`].
     pub(super) const PHASE: &str = "phase";
-    /// Start time of an endpoint, in Unix milliseconds; absent unless the endpoint started late.
+    /// Start time of an endpoint, in Unix milliseconds; absent if the endpoint did not start recently.
     pub(super) const UP_SINCE_MS: &str = "up_since_ms";
 }
 
@@ -50,14 +50,14 @@
     /// damaged id could name another engine.
     #[error("field data is not UTF-8")]
     NotUtf8,
-    /// The text is not JSON; the message includes the parser's.
+    /// The text is not JSON; the message of the JSON parser is included.
     #[error("field data is not JSON: {0}")]
     NotJson(serde_json::Error),
     /// The event's number is missing or not a number.
     #[error("field n is missing or no number")]
     NoNumber,
     /// The event's number is above [`MAX_EVENT_NUMBER`].
-    #[error("field n is no event's number")]
+    #[error("field n is above the maximum event number")]
     NumberTooLarge,
     /// The list has no array of endpoints.
     #[error("field members is missing or no list")]
@@ -67,7 +67,7 @@
     NoId,
 }
 
-/// Phase of an endpoint.
+/// Phase of an endpoint, which determines whether it gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointPhase {
     /// The endpoint accepts requests.
@@ -83,17 +83,17 @@
 pub struct Endpoint {
     /// Id of the engine. Ids are not reused; addresses are.
     pub id: String,
-    /// The address that the engine listens on: host and port.
+    /// The address that the engine listens on, `host:port`; empty if the event gives none.
     pub address: String,
-    /// Name of the engine's zone.
+    /// Name of the engine's zone; empty if the event gives none.
     pub zone: String,
-    /// Name of the engine's machine kind.
+    /// Name of the engine's machine kind; empty if the event gives none.
     pub kind: String,
-    /// Number of the engine's cell.
+    /// Number of the engine's cell; 0 if the event gives none.
     pub cell: u32,
-    /// Phase of the endpoint.
+    /// Phase of the endpoint; an unknown phase counts as ready.
     pub phase: EndpointPhase,
-    /// Start time of the engine, in Unix milliseconds; 0 unless the engine started late.
+    /// Start time of the engine, in Unix milliseconds; 0 if the engine did not start recently.
     pub up_since_ms: i64,
 }
 
@@ -101,16 +101,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
     /// Number of the event, counted from 1 since the feed's start.
-    pub n: u64,
+    pub number: u64,
     /// Revision of the list after the event; 0 if the event gives none.
     pub revision: u64,
     /// Whether the event holds the complete list, not only changes.
-    pub complete: bool,
+    pub is_complete: bool,
     /// The endpoints of the complete list, or those that changed.
-    pub members: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
 }
 
-/// An event in the configuration; `None` if it does not change the endpoint list.
+/// An event of the control feed in the configuration; `None` if the event does not change the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredEvent(pub Option<ListEvent>);
 
@@ -133,23 +133,23 @@
     decode(&value)
 }
 
-/// Decodes an event; `None` if it does not change the endpoint list.
+/// Decodes an event from JSON; `None` if the event does not change the endpoint list.
 ///
 /// # Errors
 /// If the value is not an event.
 pub fn decode(value: &Value) -> Result<Option<ListEvent>, EventError> {
-    let n = value[field::NUMBER].as_u64().ok_or(EventError::NoNumber)?;
-    if n > MAX_EVENT_NUMBER {
+    let number = value[field::NUMBER].as_u64().ok_or(EventError::NoNumber)?;
+    if number > MAX_EVENT_NUMBER {
         return Err(EventError::NumberTooLarge);
     }
     let Some(list) = value.get(field::LIST) else { return Ok(None) };
     let entries = list[field::LIST_ENDPOINTS].as_array().ok_or(EventError::NoEndpoints)?;
-    let members = entries.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
+    let endpoints = entries.iter().map(decode_endpoint).collect::<Result<Vec<_>, _>>()?;
     Ok(Some(ListEvent {
-        n,
+        number,
         revision: list[field::LIST_REVISION].as_u64().unwrap_or(0),
-        complete: list[field::LIST_IS_COMPLETE].as_bool().unwrap_or(false),
-        members,
+        is_complete: list[field::LIST_IS_COMPLETE].as_bool().unwrap_or(false),
+        endpoints,
     }))
 }
 
--- a/src/run/commands/error.rs
+++ b/src/run/commands/error.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// A startup file cannot be used.
@@ -22,9 +22,9 @@
     /// A manager's membership did not answer.
     #[error("{address}")]
     FleetMembers {
-        /// Address of the membership.
+        /// UDP address of the membership that was queried.
         address: SocketAddr,
-        /// Why no answer arrived.
+        /// Reason why no answer arrived.
         source: io::Error,
     },
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why a capture cannot be used as requested.
+/// Reason why a capture cannot be used as requested.
 #[derive(Debug, thiserror::Error)]
 pub enum CaptureError {
     /// The capture library rejected the capture or the question; its message names file and reason.
@@ -54,22 +54,22 @@
     /// The capture holds nothing about the request, engine or instant.
     #[error("the capture holds nothing about the requested subject")]
     NothingFound,
-    /// A case is damaged.
+    /// A file with test cases is damaged.
     #[error("{file}: damaged at byte {offset}: {reason}", file = file.display())]
     Damaged {
         /// Path of the file.
         file: PathBuf,
         /// Offset in bytes at which the file cannot be read.
         offset: usize,
-        /// What is wrong at the offset.
+        /// Reason why the file cannot be read from the offset on.
         reason: String,
     },
-    /// A file or folder cannot be written, or a case cannot be checked.
+    /// A file or folder cannot be written, or the case in the file cannot be checked.
     #[error("{path}", path = path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why the write or the check failed.
+        /// Reason why the write or the check failed.
         source: BoxError,
     },
 }
--- a/src/run/startup_files.rs
+++ b/src/run/startup_files.rs
@@ -13,7 +13,7 @@
 use sprucelink_zone_failover::config::FailoverConfig;
 use std::io;
 
-/// Why a file or an environment variable cannot be used at startup.
+/// Reason why a file or an environment variable cannot be used at startup.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupFileError {
     /// An environment variable is invalid.
@@ -30,7 +30,7 @@
         /// The operating system's reason.
         source: io::Error,
     },
-    /// A file's content is invalid.
+    /// A file can be read, but its content is invalid.
     #[error("{path}")]
     Invalid {
         /// Path of the file.
@@ -60,14 +60,14 @@
         inherited_listener,
         second_front,
         recorder,
-        cold_start: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
+        startup: read_optional(options.cold_start.as_ref(), StartupConfig::parse)?,
         membership: read_optional(options.membership.as_ref(), MembershipConfig::parse)?,
         failover: read_optional(options.failover.as_ref(), FailoverConfig::parse)?,
         config,
     })
 }
 
-/// Reads the configuration that the options name, or else the one that `EDGE_CONFIG` names.
+/// Reads the configuration file that the options name, or else the one that `EDGE_CONFIG` names.
 ///
 /// # Errors
 /// A configuration that is missing, unreadable or invalid.
@@ -107,7 +107,7 @@
     }))
 }
 
-/// Reads the settings file at `path`, if there is one.
+/// Reads the settings file at `path`; `None` if no path is given.
 fn read_optional<T, E: Into<BoxError>>(
     path: Option<&String>,
     parse: impl FnOnce(&str) -> Result<T, E>,
