--- a/crates/policy/src/policy/arrivals.rs
+++ b/crates/policy/src/policy/arrivals.rs
@@ -55,7 +55,7 @@
     fn admit(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let quote = self.quote(request);
-        let random_unit = self.random.next_unit();
+        let random_unit = self.random.next_f64();
         if let Some(request) = self.requests.get_mut(&id) {
             request.level = quote.level;
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -36,7 +36,7 @@
 
     fn try_dispatch(&mut self, position: QueuePosition, id: RequestId, out: &mut Vec<Action>) {
         // Drawn in any case, so that the random numbers of other requests do not depend on this one.
-        let random_unit = self.random.next_unit();
+        let random_unit = self.random.next_f64();
         let Some(request) = self.requests.get(&id) else { return };
         if !self.is_next_of_key(id, request) || !self.is_within_retry_budget(request) {
             return;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -186,7 +186,7 @@
 
     /// Draws the random number for the window that starts now.
     pub(crate) fn draw_sender(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
-        self.sender_draw = random.next_unit();
+        self.sender_draw = random.next_f64();
         self.next_sender_draw = now + settings.slow_start_window;
     }
 
--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -36,7 +36,7 @@
     }
 
     /// The next number in [0, 1), a multiple of 2^-53.
-    pub fn next_unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         crate::unit_interval(self.next_u64())
     }
 
@@ -45,7 +45,7 @@
     pub fn draw<T>(&mut self, pool: &mut Vec<T>, count: usize) -> Vec<T> {
         let mut drawn = Vec::new();
         for _ in 0..pool.len().min(count) {
-            let index = (self.next_unit() * pool.len() as f64) as usize;
+            let index = (self.next_f64() * pool.len() as f64) as usize;
             drawn.push(pool.swap_remove(index));
         }
         drawn
--- a/crates/stable-hash/tests/split_mix.rs
+++ b/crates/stable-hash/tests/split_mix.rs
@@ -19,7 +19,7 @@
 #[test]
 fn unit_numbers_are_below_one_and_have_a_mean_of_a_half() {
     let mut generator = SplitMix64::new(7);
-    let numbers: Vec<f64> = (0..10_000).map(|_| generator.next_unit()).collect();
+    let numbers: Vec<f64> = (0..10_000).map(|_| generator.next_f64()).collect();
     assert!(numbers.iter().all(|number| (0.0..1.0).contains(number)));
     let mean = numbers.iter().sum::<f64>() / numbers.len() as f64;
     assert!((mean - 0.5).abs() < 0.02, "{mean}");
