--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records that an engine rejected an attempt as full, or failed it.
-    pub fn record_backpressure(&mut self) {
+    pub fn record_engine_failure(&mut self) {
         self.limit = (self.limit * self.config.decrease_factor).max(MIN_LIMIT);
     }
 
--- a/crates/startup/tests/admission.rs
+++ b/crates/startup/tests/admission.rs
@@ -27,11 +27,11 @@
 }
 
 #[test]
-fn backpressure_cuts_the_limit_but_never_below_one() {
+fn engine_failures_lower_the_limit_but_never_below_one() {
     let mut admission = new_admission(1);
-    admission.record_backpressure();
+    admission.record_engine_failure();
     assert!((admission.limit() - 11.2).abs() < 1e-9);
-    (0..100).for_each(|_| admission.record_backpressure());
+    (0..100).for_each(|_| admission.record_engine_failure());
     assert!(admission.admit(at_millis(0), 0).is_ok(), "one pending request is always admitted");
     assert!(admission.admit(at_millis(0), 1).is_err());
 }
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -235,7 +235,7 @@
         let request_complete = outcome == AttemptOutcome::Served || !request.is_awaited();
         if matches!(outcome, AttemptOutcome::Overloaded | AttemptOutcome::EngineError) {
             if let Some(startup) = &mut self.startup {
-                startup.record_backpressure();
+                startup.record_engine_failure();
             }
         }
         let event = PolicyEvent::AttemptEnded {
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -57,8 +57,8 @@
     }
 
     /// Records that an engine rejected or failed an attempt.
-    pub(super) fn record_backpressure(&mut self) {
-        self.admission.record_backpressure();
+    pub(super) fn record_engine_failure(&mut self) {
+        self.admission.record_engine_failure();
     }
 
     /// Reserves a dial of an engine; returns the time at which the dial may be made.
