--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -184,7 +184,7 @@
         }
         let name = if self.is_served { command::RELEASE_RESULT } else { command::CANCEL };
         self.connection.command(pool, &[name, format_request_id(id).as_bytes()]);
-        self.cancellation = Some(Cancellation { stream_end: self.connection.queued(), sent_at: None });
+        self.cancellation = Some(Cancellation { stream_end: self.connection.queued_end(), sent_at: None });
     }
 
     /// Time until the cancellation has to be checked again; zero or less if it has taken effect, `None` if
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -164,7 +164,7 @@
             return ConnectionEnd::remote("closed by this process");
         }
         let limit = connection.skip_withdrawn();
-        let offset = connection.written();
+        let offset = connection.written_end();
         current = current.filter(|buffer| buffer.end() > offset);
         let Some(buffer) = &current else {
             current = connection.next_buffer();
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -143,7 +143,7 @@
             deadline: request.deadline,
             class: request.class,
             // An attempt that was authorized before is already counted in the retry budget.
-            is_retry: attempt > 0 && !in_flight.is_authorized,
+            charges_retry_budget: attempt > 0 && !in_flight.is_authorized,
             may_have_run_since: request.may_have_run_since,
             engine_is_ready: self.engines.get(connection.engine).is_some_and(|engine| engine.is_ready),
         })
@@ -205,7 +205,7 @@
         id: u64,
         outgoing: &OutgoingAttempt,
     ) {
-        let unlisted_since = self.engines.get(connection.engine).and_then(|engine| engine.unlisted_since);
+        let not_ready_since = self.engines.get(connection.engine).and_then(|engine| engine.not_ready_since);
         let Some(in_flight) = self.requests.in_flight_mut(id) else { return };
         let was_authorized = in_flight.is_authorized;
         in_flight.is_authorized = true;
@@ -216,11 +216,11 @@
             request_is_awaited: outgoing.request_is_awaited,
             deadline: outgoing.deadline,
             sent_time_left: in_flight.sent_time_left,
-            unlisted_since,
+            not_ready_since,
             spare_retries: self.fleet.spare_retries(),
         };
         if !was_authorized {
-            self.send_guard.record_first_byte(now, outgoing.is_retry);
+            self.send_guard.record_first_byte(now, outgoing.charges_retry_budget);
         }
         self.monitor.record_first_byte(now, &sent);
     }
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -34,7 +34,7 @@
         self.record_listed_ids(&list);
         self.forget_removed_engines();
         let commands = self.apply_members(&list, is_cached);
-        self.record_event_number(&list);
+        self.record_revision_and_event(&list);
         let listed = self.engines.listed_count();
         if let Some(startup) = &mut self.startup {
             startup.record_endpoint_list(listed);
@@ -51,7 +51,7 @@
 
     /// Records the last event that named each engine, and the list's revision, also of a list without
     /// engines.
-    fn record_event_number(&mut self, list: &ListEvent) {
+    fn record_revision_and_event(&mut self, list: &ListEvent) {
         self.engines.record_revision(list.revision);
         for member in &list.members {
             let index = self.policy.engine_index(&member.id);
@@ -118,12 +118,12 @@
         index: usize,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let limits = runtime.limits();
-        let has_capacity = self.engines.connection_count() < limits.max_total;
+        let may_add_connection = self.engines.connection_count() < limits.max_total;
         let Some(engine) = self.engines.get_mut(index) else { return Err(AttemptOutcome::Unreachable) };
         if let Some(connection) = engine.reusable_connection(id, limits) {
             return Ok(connection);
         }
-        let connection = engine.add_connection(index, limits, has_capacity)?;
+        let connection = engine.add_connection(index, limits, may_add_connection)?;
         if let Some(startup) = &mut self.startup {
             // Managers that start together must not dial all engines at the same time.
             connection.set_dial_time(startup.reserve_dial(now(), &engine.id));
--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -84,8 +84,8 @@
         let (handles, connection) = submit_until_unsent(&core).await;
         let (mut peer, _) = listeners[0].accept().await.expect("the connection");
         let mut written = 0;
-        while written != connection.written() {
-            written = connection.written();
+        while written != connection.written_end() {
+            written = connection.written_end();
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let unsent = connection.unsent_ids();
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -66,9 +66,9 @@
             let in_flight = coordinator.requests.in_flight_mut(1).expect("in flight");
             undialed_connection.command(core.pool(), &[b"undo"]);
             in_flight.cancellation =
-                Some(Cancellation { stream_end: undialed_connection.queued(), sent_at: None });
+                Some(Cancellation { stream_end: undialed_connection.queued_end(), sent_at: None });
             in_flight.connection = Rc::clone(&undialed_connection);
-            (in_flight.number, undialed_connection.queued())
+            (in_flight.number, undialed_connection.queued_end())
         };
         let has_ended = || {
             core.coordinator.borrow_mut().check_cancellation(&core, 1, attempt);
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -228,11 +228,11 @@
 
     /// Queues the command that sends an attempt; returns false if the pool has no buffer for it.
     pub fn send(&self, pool: &BufferPool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
-        let start = self.queued();
+        let start = self.queued_end();
         if !self.queue_command(parts, || pool.get()) {
             return false;
         }
-        let end = self.queued();
+        let end = self.queued_end();
         self.send_queue.borrow_mut().push_attempt(UnsentCommand { id, attempt, start, end });
         let carried = CarriedAttempt { attempt, start, end, queued_at: now(), is_withdrawn: false };
         self.attempts.borrow_mut().insert(id, carried);
@@ -246,11 +246,11 @@
         if self.is_closed() || self.withdraw(id) != Withdrawal::Complete {
             return false;
         }
-        let start = self.queued();
+        let start = self.queued_end();
         if !self.queue_command(parts, || Some(pool.get_beyond_limit())) {
             return false;
         }
-        let end = self.queued();
+        let end = self.queued_end();
         self.send_queue.borrow_mut().push_attempt(UnsentCommand { id, attempt, start, end });
         if let Some(carried) = self.attempts.borrow_mut().get_mut(&id) {
             *carried = CarriedAttempt { start, end, is_withdrawn: false, ..*carried };
@@ -259,23 +259,23 @@
     }
 
     /// Offset of the end of the queued commands, in bytes.
-    pub fn queued(&self) -> u64 {
-        self.send_queue.borrow().queued()
+    pub fn queued_end(&self) -> u64 {
+        self.send_queue.borrow().queued_end()
     }
 
     /// Offset up to which the stream was sent or skipped, in bytes.
-    pub fn written(&self) -> u64 {
-        self.send_queue.borrow().written()
+    pub fn written_end(&self) -> u64 {
+        self.send_queue.borrow().written_end()
     }
 
     /// Whether the stream was sent or skipped up to an offset, or the connection is closed.
     pub fn has_passed(&self, offset: u64) -> bool {
-        self.written() >= offset || self.is_closed()
+        self.written_end() >= offset || self.is_closed()
     }
 
     /// Whether the command that sends a request's attempt is not yet sent completely.
     pub fn is_unsent(&self, id: u64) -> bool {
-        let written = self.written();
+        let written = self.written_end();
         let attempts = self.attempts.borrow();
         !self.is_closed()
             && attempts.get(&id).is_some_and(|attempt| !attempt.is_withdrawn && attempt.end > written)
@@ -295,7 +295,7 @@
         if !self.is_unsent(id) {
             return Withdrawal::TooLate;
         }
-        let written = self.written();
+        let written = self.written_end();
         let mut attempts = self.attempts.borrow_mut();
         let Some(attempt) = attempts.get_mut(&id).filter(|attempt| attempt.start >= written) else {
             return Withdrawal::Partial;
@@ -332,7 +332,7 @@
         self.state.set(State::Closed);
         self.send_queue.borrow_mut().clear();
         self.wake.notify_one();
-        let written = self.written();
+        let written = self.written_end();
         let attempts = std::mem::take(&mut *self.attempts.borrow_mut());
         let interrupted = attempts.into_iter().map(|(id, carried)| InterruptedAttempt {
             id,
@@ -351,7 +351,7 @@
 
     /// Whether no byte of any attempt on the connection was sent.
     pub(super) fn has_nothing_in_flight(&self) -> bool {
-        let written = self.written();
+        let written = self.written_end();
         self.attempts.borrow().values().all(|attempt| attempt.is_withdrawn || attempt.start >= written)
     }
 
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -50,9 +50,9 @@
 pub(super) struct SendQueue {
     buffers: VecDeque<Buffer>,
     /// Offset of the end of the queued commands.
-    queued: u64,
+    queued_end: u64,
     /// Offset up to which the stream was sent or skipped.
-    written: u64,
+    written_end: u64,
     /// Offset up to which buffers were taken off the queue.
     taken: u64,
     /// Withdrawn parts of the stream: end offsets by start offset.
@@ -73,7 +73,7 @@
         if let Some(buffer) = self.buffers.back_mut() {
             let len_before = buffer.len();
             resp::write_command(buffer, parts);
-            self.queued += (buffer.len() - len_before) as u64;
+            self.queued_end += (buffer.len() - len_before) as u64;
         }
         true
     }
@@ -84,13 +84,13 @@
     }
 
     /// Offset of the end of the queued commands.
-    pub(super) fn queued(&self) -> u64 {
-        self.queued
+    pub(super) fn queued_end(&self) -> u64 {
+        self.queued_end
     }
 
     /// Offset up to which the stream was sent or skipped.
-    pub(super) fn written(&self) -> u64 {
-        self.written
+    pub(super) fn written_end(&self) -> u64 {
+        self.written_end
     }
 
     /// The ids of the requests whose commands were not sent completely.
@@ -120,17 +120,17 @@
     /// Skips withdrawn bytes at the head of the stream; returns the start of the next withdrawn part, if
     /// there is one.
     pub(super) fn skip_withdrawn(&mut self) -> Option<u64> {
-        while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written) {
-            self.written = self.written.max(part.remove());
+        while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written_end) {
+            self.written_end = self.written_end.max(part.remove());
         }
         self.withdrawn.first_key_value().map(|(start, _)| *start)
     }
 
     /// Advances the written offset by `bytes`; returns the number of attempts that this completes.
     pub(super) fn record_written(&mut self, bytes: usize) -> u64 {
-        self.written += bytes as u64;
+        self.written_end += bytes as u64;
         let mut sent = 0;
-        while self.unsent.front().is_some_and(|command| command.end <= self.written) {
+        while self.unsent.front().is_some_and(|command| command.end <= self.written_end) {
             self.unsent.pop_front();
             sent += 1;
         }
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -58,7 +58,7 @@
     assert!(!connection.send(&pool, 1, 0, &[b"do"]) && connection.attempt_count() == 0);
     // Without its cancellation, an attempt would run concurrently with the next one.
     connection.command(&pool, &[b"undo"]);
-    assert!(connection.queued() > 0 && !connection.has_passed(connection.queued()));
+    assert!(connection.queued_end() > 0 && !connection.has_passed(connection.queued_end()));
     drop(only_buffer);
     assert!(connection.send(&pool, 1, 0, &[b"do"]));
     let interrupted = InterruptedAttempt { id: 1, attempt: 0, is_unsent: true };
@@ -105,8 +105,8 @@
         // Sends more than the kernel buffers of both sides hold, while the peer reads nothing.
         (4..1_000).for_each(send);
         let mut written = 0;
-        while connection.is_unsent(1) || written != connection.written() {
-            written = connection.written();
+        while connection.is_unsent(1) || written != connection.written_end() {
+            written = connection.written_end();
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let unsent: Vec<u64> = (4..1_000).filter(|id| connection.is_unsent(*id)).collect();
@@ -144,8 +144,8 @@
         tokio::task::spawn_local(run(owner, Rc::clone(&connection)));
         let (_peer, _) = listeners[0].accept().await.expect("a connection");
         let mut written = u64::MAX;
-        while written != connection.written() {
-            written = connection.written();
+        while written != connection.written_end() {
+            written = connection.written_end();
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let unsent = connection.unsent_ids();
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -36,7 +36,7 @@
     /// Time at which the engine was removed from the list; `None` if it is listed.
     pub(super) removed_at: Option<Timestamp>,
     /// Time at which the engine ceased to be listed as ready or was cordoned; `None` while it is ready.
-    pub(super) unlisted_since: Option<Timestamp>,
+    pub(super) not_ready_since: Option<Timestamp>,
     /// Time at which the engine last answered.
     pub(super) last_answered_at: Option<Timestamp>,
     /// The engine's last entry in the list, before cordons are applied.
@@ -61,7 +61,7 @@
         self.address = address;
         self.started_at_ms = entry.up_since_ms;
         self.is_ready = entry.phase == EndpointPhase::Ready;
-        self.unlisted_since = if self.is_ready { None } else { self.unlisted_since.or(Some(now)) };
+        self.not_ready_since = if self.is_ready { None } else { self.not_ready_since.or(Some(now)) };
         self.id.clone_from(&entry.id);
         self.removed_at = (entry.phase == EndpointPhase::Gone).then_some(now);
         if has_moved || self.removed_at.is_some() {
@@ -83,7 +83,7 @@
         most_used.map(Rc::clone)
     }
 
-    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `has_capacity`:
+    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `may_add_connection`:
     /// whether the connections to all engines are below their limit.
     ///
     /// # Errors
@@ -92,12 +92,12 @@
         &mut self,
         engine: usize,
         limits: &ConnectionLimits,
-        has_capacity: bool,
+        may_add_connection: bool,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let address = self.address.ok_or(AttemptOutcome::Unreachable)?;
         // Connections to engines have a separate limit of file descriptors, so that they cannot exhaust those
         // of clients.
-        if self.connections.len() >= limits.max_per_engine || !has_capacity {
+        if self.connections.len() >= limits.max_per_engine || !may_add_connection {
             return Err(AttemptOutcome::NeverRan);
         }
         let connection = EngineConnection::new(engine, address);
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -95,7 +95,7 @@
     /// Time left until the deadline, as given to the engine in the command.
     pub(super) sent_time_left: TimeDelta,
     /// Time at which the engine ceased to be ready; `None` if it is ready.
-    pub(super) unlisted_since: Option<Timestamp>,
+    pub(super) not_ready_since: Option<Timestamp>,
     /// Retries that the other managers leave to this manager, in addition to its own retry budget.
     pub(super) spare_retries: f64,
 }
@@ -222,7 +222,8 @@
             let detail = format!("{name}: engine deadline {excess_ms} ms after the client's");
             self.record_violation(now, Invariant::LateDeadline, &detail);
         }
-        if let Some(since) = sent.unlisted_since.filter(|since| now - *since > self.drain_grace + DRAIN_SLACK)
+        if let Some(since) =
+            sent.not_ready_since.filter(|since| now - *since > self.drain_grace + DRAIN_SLACK)
         {
             let detail =
                 format!("{name}: sent {} ms after the engine ceased to be ready", (now - since).as_millis());
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -56,7 +56,7 @@
         request_is_awaited: true,
         deadline: time_s(100.0),
         sent_time_left: span_s(10.0),
-        unlisted_since: None,
+        not_ready_since: None,
         spare_retries: 0.0,
     }
 }
@@ -108,7 +108,7 @@
 #[test]
 fn attempt_at_an_engine_that_drains_for_longer_than_the_grace_is_counted() {
     let (mut monitor, metrics) = monitor();
-    let draining = SentAttempt { unlisted_since: Some(time_s(49.5)), ..sent(1, 0, 0) };
+    let draining = SentAttempt { not_ready_since: Some(time_s(49.5)), ..sent(1, 0, 0) };
     monitor.record_first_byte(time_s(50.0), &draining);
     assert_eq!(violated(&metrics), Vec::<&str>::new());
     monitor.record_first_byte(time_s(50.1), &SentAttempt { id: 2, ..draining });
--- a/src/core/reason_counters.rs
+++ b/src/core/outcome_counters.rs
@@ -44,18 +44,18 @@
 ];
 
 /// Counters by reason.
-pub(super) struct ReasonCounters {
+pub(super) struct OutcomeCounters {
     counters: BTreeMap<&'static str, Counter>,
 }
 
-impl ReasonCounters {
+impl OutcomeCounters {
     /// Creates the counters in `metrics`, all at zero.
-    pub(super) fn new(metrics: &Metrics) -> ReasonCounters {
+    pub(super) fn new(metrics: &Metrics) -> OutcomeCounters {
         let names = OUTCOMES.iter().map(|(_, name)| *name);
         let names = names.chain(WITHDRAWALS.iter().map(|(_, name)| *name));
         let names = names.chain(REJECTIONS.iter().chain(&FAILURES).map(|(_, name)| *name));
         let counter = |name| (name, metrics.counter(name).unwrap_or_else(|_| Counter::noop()));
-        ReasonCounters { counters: names.map(counter).collect() }
+        OutcomeCounters { counters: names.map(counter).collect() }
     }
 
     /// Counts the end of an attempt.
--- a/src/core/request_statistics.rs
+++ b/src/core/request_statistics.rs
@@ -4,7 +4,7 @@
 //! counters in each interval. State: the counters since the last log line.
 
 use super::attempt::AttemptOutcome;
-use super::reason_counters::ReasonCounters;
+use super::outcome_counters::OutcomeCounters;
 use super::request::Response;
 use super::request_counters::RequestCounters;
 use super::send_guard::SendRejection;
@@ -18,7 +18,7 @@
 /// Counts requests and attempts by their outcomes, for the metrics and for the log.
 pub(super) struct RequestStatistics {
     /// Counters by reason, in the metrics.
-    reasons: ReasonCounters,
+    outcomes: OutcomeCounters,
     /// Counters since the last log line.
     counters: RequestCounters,
     next_log_at: Timestamp,
@@ -30,7 +30,7 @@
     /// Creates statistics that count in `metrics`. The first log line is due [`LOG_INTERVAL`] after `now`.
     pub(super) fn new(metrics: &Metrics, now: Timestamp) -> RequestStatistics {
         RequestStatistics {
-            reasons: ReasonCounters::new(metrics),
+            outcomes: OutcomeCounters::new(metrics),
             counters: RequestCounters::default(),
             next_log_at: now + LOG_INTERVAL,
             logged_capture_losses: 0,
@@ -61,17 +61,17 @@
 
     /// Counts the end of an attempt.
     pub(super) fn record_attempt_end(&self, outcome: AttemptOutcome) {
-        self.reasons.record_end(outcome);
+        self.outcomes.record_end(outcome);
     }
 
     /// Counts an attempt that was withdrawn just before its first byte.
     pub(super) fn record_withdrawal(&self, reason: SendRejection) {
-        self.reasons.record_withdrawal(reason);
+        self.outcomes.record_withdrawal(reason);
     }
 
     /// Counts a final response.
     pub(super) fn record_response(&mut self, response: &Response, accounting: Option<ActiveRequest>) {
-        self.reasons.record_response(response);
+        self.outcomes.record_response(response);
         match response {
             Response::Served(_) => {
                 accounting.into_iter().for_each(ActiveRequest::succeed);
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -45,7 +45,7 @@
     /// Index of the request's class.
     pub(super) class: usize,
     /// Whether the attempt has to be charged to the retry budget: it is a retry and was not charged before.
-    pub(super) is_retry: bool,
+    pub(super) charges_retry_budget: bool,
     /// Time at which the first attempt of the request that may have run was queued; `None` if none may have
     /// run.
     pub(super) may_have_run_since: Option<Timestamp>,
@@ -104,8 +104,8 @@
     }
 
     /// Counts an attempt whose first byte is being sent.
-    pub(super) fn record_first_byte(&mut self, now: Timestamp, is_retry: bool) {
-        if is_retry && self.retry_budget.is_some() {
+    pub(super) fn record_first_byte(&mut self, now: Timestamp, charges_retry_budget: bool) {
+        if charges_retry_budget && self.retry_budget.is_some() {
             self.retries.increment(now);
         }
     }
@@ -133,7 +133,7 @@
         if !self.is_retryable(now, attempt) {
             return Err(SendRejection::NotRetryable);
         }
-        if attempt.is_retry && !self.has_retry_budget(now, spare_retries) {
+        if attempt.charges_retry_budget && !self.has_retry_budget(now, spare_retries) {
             return Err(SendRejection::RetryBudgetSpent);
         }
         Ok(())
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -39,7 +39,7 @@
     request_is_awaited: true,
     deadline: Timestamp::from_secs(2),
     class: 0,
-    is_retry: false,
+    charges_retry_budget: false,
     may_have_run_since: None,
     engine_is_ready: true,
 };
@@ -63,7 +63,11 @@
 #[test]
 fn retry_is_sent_within_its_window_and_never_for_an_unsafe_class() {
     let guard = guard(None);
-    let retry = OutgoingAttempt { is_retry: true, may_have_run_since: Some(time_ms(100)), ..FIRST_ATTEMPT };
+    let retry = OutgoingAttempt {
+        charges_retry_budget: true,
+        may_have_run_since: Some(time_ms(100)),
+        ..FIRST_ATTEMPT
+    };
     assert_eq!(guard.check(time_ms(1_000), 0.0, &retry), Ok(()), "a safe class has no window");
     let keyed = OutgoingAttempt { class: 1, ..retry };
     assert_eq!(guard.check(time_ms(499), 0.0, &keyed), Ok(()));
@@ -108,7 +112,8 @@
                 guard.record_request(now);
                 requests.push(now);
             }
-            let retry = OutgoingAttempt { is_retry: true, deadline: now + millis(1), ..FIRST_ATTEMPT };
+            let retry =
+                OutgoingAttempt { charges_retry_budget: true, deadline: now + millis(1), ..FIRST_ATTEMPT };
             if guard.check(now, 0.0, &retry).is_err() {
                 continue;
             }
@@ -134,7 +139,7 @@
 fn retries_use_the_whole_budget_and_its_counts_stay_bounded() {
     let budget = RetryBudgetSettings { window: millis(5_000), free_retries: 3.0, retries_per_request: 0.1 };
     let mut guard = guard(Some(budget));
-    let retry = OutgoingAttempt { is_retry: true, deadline: Timestamp::MAX, ..FIRST_ATTEMPT };
+    let retry = OutgoingAttempt { charges_retry_budget: true, deadline: Timestamp::MAX, ..FIRST_ATTEMPT };
     let mut sent = 0;
     for now_ms in 0..60_000 {
         guard.record_request(time_ms(now_ms));
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -16,7 +16,7 @@
 
 /// The state machines of `sprucelink_startup` that the core drives.
 pub(super) struct StartupControl {
-    dials: DialPacer,
+    dial_pacer: DialPacer,
     admission: WarmupAdmission,
     list_guard: EndpointListGuard,
     readiness: Readiness,
@@ -35,7 +35,7 @@
         let mut readiness = Readiness::new(settings.readiness, now);
         readiness.record_endpoint_list(listed_engines);
         StartupControl {
-            dials: DialPacer::new(settings.dial_pacer, name, now),
+            dial_pacer: DialPacer::new(settings.dial_pacer, name, now),
             admission: WarmupAdmission::new(settings.admission, seed, now),
             list_guard: EndpointListGuard::new(settings.endpoint_list_guard),
             readiness,
@@ -63,7 +63,7 @@
 
     /// Reserves a dial of an engine; returns the time at which the dial may be made.
     pub(super) fn reserve_dial(&mut self, now: Timestamp, engine_id: &str) -> Timestamp {
-        self.dials.reserve_dial(now, engine_id)
+        self.dial_pacer.reserve_dial(now, engine_id)
     }
 
     /// Records that the control feed has answered a poll.
@@ -90,7 +90,7 @@
                 feed_answered = ready.feed_answered,
                 connected = ready.is_connected,
                 engines = ready.engines,
-                delayed_dials = self.dials.delayed_dials(),
+                delayed_dials = self.dial_pacer.delayed_dials(),
                 rejected_requests = self.admission.rejected(),
                 "manager is ready"
             );
