--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -31,9 +31,9 @@
 /// Settings and shared resources of a new [`Core`].
 #[derive(Debug)]
 pub struct CoreConfig {
-    /// Settings of the policy.
+    /// Settings of the policy, and of the send guard and the invariant monitor, which check the same rules.
     pub settings: Settings,
-    /// Seed of the policy and of generated ids.
+    /// Seed of the policy, of start-up control and of generated ids.
     pub seed: u64,
     /// Names of the zones, in the order of their indices.
     pub zones: Vec<String>,
@@ -41,9 +41,9 @@
     pub kinds: Vec<String>,
     /// Bounds and timeouts of connections to engines.
     pub limits: ConnectionLimits,
-    /// The pool of buffers for requests, results and connections.
+    /// Pool of the buffers for statements, results and the bytes of connections.
     pub pool: BufferPool,
-    /// The metrics in which requests and violations are counted.
+    /// Metrics in which requests, attempts and violations of invariants are counted.
     pub metrics: Metrics,
 }
 
@@ -65,15 +65,16 @@
 }
 
 impl RequestHandle {
-    /// Cancels the request because its client requested that. The request counts as failed, not as abandoned.
+    /// Cancels the request on behalf of its client. In the metrics, the request counts as failed and not as
+    /// abandoned.
     pub fn cancel(mut self) {
         self.was_cancelled = true;
     }
 
-    /// Waits for the final response.
+    /// Waits for the final response, which arrives by the request's deadline at the latest.
     pub async fn wait(&mut self) -> Response {
-        // The sender stays in the request table until it is used, so the receiver never fails. This response
-        // is a fallback.
+        // The sender stays in the request table until it has sent the response, so the receiver never fails.
+        // `lost` is a fallback.
         let lost = Response::Failed { reason: UnservedReason::ConnectionLost, retry_after: MIN_RETRY_AFTER };
         (&mut self.response).await.unwrap_or(lost)
     }
@@ -94,15 +95,15 @@
         Rc::new(Core { coordinator: RefCell::new(coordinator), pool, limits, wake: Notify::new(), metrics })
     }
 
-    /// Enables start-up control: of dials, admission, endpoint lists and readiness. `name` is this manager's
-    /// configured name. Must be called before the first endpoint list, so that the list guard sees every
-    /// list.
+    /// Enables start-up control, which paces dials, limits admission, checks endpoint lists and reports
+    /// readiness. `name` is this manager's configured name. Must be called before the first endpoint list, so
+    /// that the list guard sees every list.
     pub fn enable_startup_control(&self, settings: &StartupConfig, name: &str) {
         self.coordinator.borrow_mut().enable_startup_control(settings, name);
         self.wake.notify_one();
     }
 
-    /// Records that the control feed has answered a poll.
+    /// Records that the control feed has answered a poll, which is one of the conditions of readiness.
     pub fn on_control_feed_answered(&self) {
         if let Some(startup) = self.coordinator.borrow_mut().startup_mut() {
             startup.record_feed_answer();
@@ -119,44 +120,47 @@
         self.coordinator.borrow_mut().gossip_payload()
     }
 
-    /// Sets the number of managers, this one included, and the retries that the other managers leave to this
-    /// manager in addition to its own retry budget.
+    /// Sets the number of managers, this one included, and the number of retries that this manager may make
+    /// in the retry budget's window beyond its own budget, because the other managers have not used theirs.
     pub fn set_fleet(self: &Rc<Self>, managers: u32, spare_retries: f64) {
         self.coordinator.borrow_mut().set_fleet(self, managers, spare_retries);
     }
 
-    /// Sets the number of this manager's processes, among which its share of the fleet is divided.
+    /// Sets the number of this manager's processes, among which its share of the fleet's capacity and budgets
+    /// is divided. There are several during a hot restart.
     pub fn set_process_count(self: &Rc<Self>, processes: u32) {
         self.coordinator.borrow_mut().set_process_count(self, processes);
     }
 
-    /// Enables failover between zones. `home`: the index of this manager's zone.
+    /// Enables failover between zones. `home`: the index of this manager's zone in `zones`, the names of all
+    /// zones; `None` if the zone is not configured.
     pub fn enable_zone_failover(&self, config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) {
         self.coordinator.borrow_mut().enable_zone_routing(ZoneRouting::new(config, home, zones));
         self.wake.notify_one();
     }
 
-    /// Replaces the other managers' observations; `observers` is called only if failover is on.
+    /// Replaces the other managers and their observations; `observers` is called only if failover is on.
     pub fn set_observers(&self, observers: impl FnOnce() -> Vec<Observer>) {
         self.coordinator.borrow_mut().set_observers(observers);
     }
 
-    /// The pool of buffers.
+    /// The pool of buffers, which the core shares with the fronts.
     pub fn pool(&self) -> &BufferPool {
         &self.pool
     }
 
-    /// The metrics: those of requests, and the other parts' counters.
+    /// The metrics of requests, and the counters that other modules have registered.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The number of pending requests.
+    /// The number of requests without a final response or with an attempt that has not ended.
     pub fn pending_requests(&self) -> usize {
         self.coordinator.borrow().requests.len()
     }
 
-    /// The number of the last event of the endpoint list.
+    /// The number of the last event of the endpoint list that was applied or skipped, after which the next
+    /// poll continues; 0 before the first event.
     pub fn last_event(&self) -> u64 {
         self.coordinator.borrow().engines.last_event()
     }
@@ -167,26 +171,28 @@
         self.coordinator.borrow_mut().engines.skip_event(event);
     }
 
-    /// Applies an event of the endpoint list. `is_cached`: the list was stored before this process started
-    /// and may be out of date.
+    /// Applies an event of the endpoint list. `is_cached`: whether the list was stored before this process
+    /// started and may be out of date.
     pub fn on_endpoint_list(self: &Rc<Self>, list: &ListEvent, is_cached: bool) {
         self.coordinator.borrow_mut().on_endpoint_list(self, list, is_cached);
     }
 
-    /// Generates a random id. Two ids of one process are equal only by chance.
+    /// Generates a pseudorandom 64-bit id, for a request, a session or an idempotency key. Ids are not
+    /// compared with earlier ones.
     pub fn generate_id(&self) -> u64 {
         self.coordinator.borrow_mut().generate_id()
     }
 
-    /// Sets the recorder of the policy's further events and actions; `None` stops the recording and waits a
-    /// little for the writer.
+    /// Sets the recorder for the policy's events and actions from now on. `None` stops the recording and
+    /// waits for the writer, for a limited time.
     pub fn set_recorder(&self, recorder: Option<Recorder>) {
         let previous = self.coordinator.borrow_mut().set_recorder(recorder);
         // Dropped after the borrow has ended, because the drop waits for the writer.
         drop(previous);
     }
 
-    /// Submits a request; returns `None` if its id is pending or was recently used for another statement.
+    /// Submits a request; returns `None` if a request with the same id is pending, or the id was recently used
+    /// for another statement.
     pub fn submit(self: &Rc<Self>, request: Request) -> Option<RequestHandle> {
         let id = request.spec.id;
         let class = request.spec.class;
@@ -200,13 +206,13 @@
         self.coordinator.borrow_mut().set_shutdown_deadline(deadline);
     }
 
-    /// Gives every pending request its final response now, because this process is shutting down;
-    /// `shutdown_response` chooses the response. Returns the number of requests.
+    /// Gives every request that has no final response yet its response now, because this process is shutting
+    /// down; `shutdown_response` chooses the response. Returns the number of these requests.
     pub fn complete_all(self: &Rc<Self>) -> usize {
         self.coordinator.borrow_mut().complete_all(self)
     }
 
-    /// Counts a violation that was detected outside the core. `detail`: ids and values for the log.
+    /// Counts and logs a violation that was detected outside the core. `detail`: ids and values for the log.
     pub fn record_violation(&self, rule: Invariant, detail: &str) {
         self.coordinator.borrow().monitor.record_violation(now(), rule, detail);
     }
@@ -216,10 +222,11 @@
         self.coordinator.borrow().check_nothing_pending();
     }
 
-    /// Cordons an engine; `Ok` also if it is already cordoned.
+    /// Cordons the engine with this id; `Ok` also if it is already cordoned.
     ///
     /// # Errors
-    /// If the id was never listed, or the call exceeds the limits on cordons.
+    /// If the id is invalid or was never listed, the lease is invalid, or the number of active cordons has
+    /// reached its limit.
     pub fn cordon_engine(
         self: &Rc<Self>,
         id: &str,
@@ -229,10 +236,10 @@
         self.coordinator.borrow_mut().cordon_engine(self, id, request, reason)
     }
 
-    /// Ends a cordon of the same caller; `Ok` also if there is none.
+    /// Ends the engine's cordon by this cause; `Ok` also if there is none. Cordons by other causes stay.
     ///
     /// # Errors
-    /// If the id was never listed.
+    /// If the id is invalid or was never listed.
     pub fn uncordon_engine(self: &Rc<Self>, id: &str, cause: Cause) -> Result<CordonOutcome, CordonError> {
         self.coordinator.borrow_mut().uncordon_engine(self, id, cause)
     }
@@ -253,7 +260,7 @@
         self.coordinator.borrow_mut().expire_cordons(self);
     }
 
-    /// The number of listed engines, and the number of listed engines that get no requests.
+    /// The number of listed engines, and how many of them get no requests.
     pub fn engine_counts(&self) -> EngineCounts {
         self.coordinator.borrow().engine_counts()
     }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -18,10 +18,10 @@
 /// Time that a cancelled attempt stays in flight after its cancellation was sent. The cancellation has to
 /// reach its engine before the next attempt reaches another one, or both would run.
 pub(super) const CANCELLATION_GRACE: TimeDelta = TimeDelta::from_millis(10);
-/// Time between two checks of whether a cancellation was sent.
+/// Time between two checks of whether the bytes of a cancellation were sent.
 pub(super) const CANCELLATION_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(1);
 
-/// The outcome of an attempt.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The engine served the request, and the complete result was received.
@@ -34,12 +34,13 @@
     /// one that makes no progress is cancelled by the policy (`cancellation::is_stuck`) and ends as
     /// [`AttemptOutcome::Cancelled`].
     Expired,
-    /// No connection could be made; the attempt never ran.
+    /// No connection to the engine could be made; the attempt never ran.
     Unreachable,
-    /// The connection broke while the attempt was in flight.
+    /// The connection broke after the attempt was sent; the attempt may have run. A broken connection counts
+    /// as one fault of its engine: its other attempts end as [`AttemptOutcome::ConnectionClosed`].
     ConnectionBroken,
-    /// The connection was closed locally or because of another request. The attempt may have executed; the
-    /// engine is not penalised.
+    /// The connection was closed by this process, or its break is counted for another attempt. The attempt
+    /// may have run; the engine is not penalised.
     ConnectionClosed,
     /// The attempt was cancelled; it may have run.
     Cancelled,
@@ -70,32 +71,32 @@
     }
 }
 
-/// A cancellation that has not taken effect yet.
+/// The cancellation of an attempt, until it has taken effect.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cancellation {
     /// Offset in the connection's stream at which the cancellation command ends, in bytes.
     pub(super) stream_end: u64,
-    /// Time at which the cancellation was first found to have been sent; `None` before.
+    /// Time at which a check first found that the cancellation was sent; `None` while it waits to be sent.
     pub(super) sent_at: Option<Timestamp>,
 }
 
 /// The effect of an engine's answer on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AnswerEffect {
-    /// Nothing to do.
+    /// The attempt is unchanged, or its result is still incomplete.
     None,
-    /// A progress note.
+    /// The answer is a progress note, which the caller passes to the policy.
     Progress {
         /// Topic of the note.
         topic: UpdateTopic,
         /// Value of the note; its meaning depends on the topic.
         value: f64,
     },
-    /// The attempt has ended.
+    /// The attempt has ended with this outcome.
     Ended(AttemptOutcome),
 }
 
-/// The attempt of a request that is in flight.
+/// An attempt that was queued to a connection and has not ended.
 pub(super) struct InFlightAttempt {
     /// Number of the attempt among its request's attempts, from 0.
     pub(super) number: u32,
@@ -105,14 +106,14 @@
     pub(super) queued_at: Timestamp,
     /// Time left until the deadline, as given to the engine in the command.
     pub(super) sent_time_left: TimeDelta,
-    /// Whether the attempt was authorized to be sent; a retry then counts in the retry budget. Its first byte
-    /// may still wait for a slow peer.
+    /// Whether the attempt was authorized to be sent; from then on a retry counts in the retry budget. Its
+    /// first byte may still wait for a slow peer.
     pub(super) is_authorized: bool,
-    /// The pages of the result received so far.
+    /// The pages of the result that were received so far.
     pub(super) result: ResultSet,
-    /// The cost of the query, once the engine has reported it.
+    /// The cost of the query; `None` until the engine has reported it.
     pub(super) cost: Option<QueryCost>,
-    /// The engine's last load report.
+    /// The load report in the engine's last answer to this attempt; all zero before.
     pub(super) load_report: LoadStats,
     /// Whether the first page of the result was received.
     pub(super) is_served: bool,
@@ -146,12 +147,12 @@
         }
     }
 
-    /// Whether this connection carries the attempt.
+    /// Whether `connection` carries the attempt.
     pub(super) fn is_on(&self, connection: &EngineConnection) -> bool {
         std::ptr::eq(&*self.connection, connection)
     }
 
-    /// Sets the priority level at the engine, unless the attempt is already served.
+    /// Sends the engine a new priority level, 0 (lowest) to 3, unless the attempt is already served.
     pub(super) fn set_level(&self, pool: &BufferPool, id: u64, level: u8) {
         if self.is_served {
             return;
@@ -161,22 +162,23 @@
         self.connection.command(pool, &[command::SET_PRIORITY, id.as_bytes(), level.as_bytes()]);
     }
 
-    /// Records that the attempt was withdrawn before its first byte: it ends as [`AttemptOutcome::NeverRan`],
-    /// without waiting for a cancellation to reach the engine.
+    /// Records that the attempt was withdrawn before its first byte. It ends as [`AttemptOutcome::NeverRan`]
+    /// at the next check: the engine does not know the attempt, so its cancellation counts as sent one
+    /// [`CANCELLATION_GRACE`] ago.
     pub(super) fn mark_withdrawn(&mut self, now: Timestamp) {
         self.cancelled_outcome = AttemptOutcome::NeverRan;
         self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now - CANCELLATION_GRACE) });
     }
 
-    /// Records that this process closed the connection: the attempt ends with `outcome` once the close has
-    /// reached the engine.
+    /// Records that this process closed the connection: the attempt ends with `outcome` after
+    /// [`CANCELLATION_GRACE`], by which time the close has reached the engine.
     pub(super) fn mark_closed(&mut self, outcome: AttemptOutcome, now: Timestamp) {
         self.cancelled_outcome = outcome;
         self.cancellation = Some(Cancellation { stream_end: 0, sent_at: Some(now) });
     }
 
     /// Cancels the attempt at its engine, or withdraws it if no byte of it was sent. Until the cancellation
-    /// has taken effect, the attempt may still end by itself.
+    /// has taken effect, an answer of the engine may still end the attempt.
     pub(super) fn cancel(&mut self, pool: &BufferPool, id: u64, now: Timestamp) {
         if self.connection.withdraw(id) == Withdrawal::Complete {
             self.mark_withdrawn(now);
@@ -205,10 +207,11 @@
         Some(delay)
     }
 
-    /// Applies an answer of the engine.
+    /// Applies an answer of the engine to this attempt.
     ///
     /// # Errors
-    /// If the answer violates the protocol: nothing else on the connection can be trusted then.
+    /// If the answer violates the protocol. The connection must then be closed, because no further byte on it
+    /// can be trusted.
     pub(super) fn on_answer(
         &mut self,
         pool: &BufferPool,
@@ -248,12 +251,12 @@
         answer: &EngineAnswer,
     ) -> Result<AnswerEffect, EngineAnswerError> {
         if self.cancellation.is_some() && pages > 1 {
-            // The further pages are not needed.
+            // The result of a cancelled attempt is not needed: the engine may drop its pages.
             self.release_result(pool, id);
             return Ok(AnswerEffect::None);
         }
         if self.is_served {
-            // The answer to a duplicate.
+            // A second first page answers a duplicate of the command.
             return Ok(AnswerEffect::None);
         }
         self.check_page(answer.body)?;
@@ -316,7 +319,8 @@
     }
 }
 
-/// Releases the result of a request at its engine, which keeps it until all pages were fetched.
+/// Asks the engine to drop the result of a request, which it would otherwise keep until all pages were
+/// fetched.
 pub(super) fn release_result(connection: &EngineConnection, pool: &BufferPool, id: u64) {
     connection.command(pool, &[command::RELEASE_RESULT, format_request_id(id).as_bytes()]);
 }
--- a/src/core/buffer_pool.rs
+++ b/src/core/buffer_pool.rs
@@ -16,8 +16,8 @@
 /// Size of every buffer in bytes. The largest result and its framing fit into one buffer.
 pub const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Size of the first read into a buffer, in bytes. The bytes go through the stack, and most messages are
-/// shorter.
+/// Size of the stack buffer of the first read, in bytes; most messages are shorter. A buffer is taken from
+/// the pool only if the read returns bytes.
 const FIRST_READ_BYTES: usize = 2_048;
 
 #[derive(Debug)]
@@ -27,11 +27,12 @@
     max_buffers: usize,
 }
 
-/// A pool of buffers.
+/// A handle to a pool of buffers; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct BufferPool(Rc<PoolState>);
 
-/// A buffer that returns to its pool when dropped. Writers keep within [`BUFFER_BYTES`].
+/// A buffer that returns to its pool when dropped. Writers must not exceed [`BUFFER_BYTES`]: a buffer that has
+/// grown is freed instead.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -44,7 +45,7 @@
         BufferPool(Rc::new(PoolState { free: RefCell::new(Vec::new()), in_use: Cell::new(0), max_buffers }))
     }
 
-    /// An empty buffer, or `None` when all are in use.
+    /// An empty buffer, or `None` if the limit on buffers in use is reached.
     pub fn get(&self) -> Option<Buffer> {
         if self.0.in_use.get() >= self.0.max_buffers {
             return None;
@@ -52,17 +53,17 @@
         Some(self.get_beyond_limit())
     }
 
-    /// An empty buffer, even when all are in use: for data that cannot be rejected, such as a cancellation,
-    /// an error to a client or received bytes. Each connection and each session has at most two, so the
-    /// limits on connections and sessions also bound these buffers. They count as in use, so that new
-    /// requests are rejected meanwhile.
+    /// An empty buffer, even if the limit on buffers in use is reached: for data that cannot be rejected, such
+    /// as a cancellation, an error to a client or received bytes. Each connection and each session has at
+    /// most two of these buffers, so the limits on connections and sessions also bound their number. They
+    /// count as in use, so that new requests are rejected until buffers are returned.
     pub fn get_beyond_limit(&self) -> Buffer {
         self.0.in_use.set(self.0.in_use.get() + 1);
         let bytes = self.0.free.borrow_mut().pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_BYTES));
         Buffer { bytes, pool: Rc::clone(&self.0) }
     }
 
-    /// Limit on the buffers in use at a time.
+    /// Limit on the buffers in use at a time, beyond which [`BufferPool::get`] returns `None`.
     pub fn max_buffers(&self) -> usize {
         self.0.max_buffers
     }
@@ -74,7 +75,7 @@
 }
 
 impl Buffer {
-    /// Whether `bytes` more bytes fit.
+    /// Whether `bytes` more bytes fit into [`BUFFER_BYTES`].
     pub fn has_capacity(&self, bytes: usize) -> bool {
         self.bytes.len() + bytes <= BUFFER_BYTES
     }
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. There is no
-//! other state.
+//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. State: the
+//! first readings of both clocks.
 
 use nix::time::{clock_gettime, ClockId};
 use sprucelink_policy::{TimeDelta, Timestamp};
@@ -8,7 +8,8 @@
 
 /// The current time: the Unix time of the first call, advanced by the monotonic clock.
 ///
-/// All deadlines and spans use it, so that a step of the system clock neither shortens nor prolongs them.
+/// All deadlines and spans are measured on this clock, so that a step of the system clock neither shortens nor
+/// prolongs them.
 pub fn now() -> Timestamp {
     static FIRST: OnceLock<(Instant, Timestamp)> = OnceLock::new();
     let (first_call, started_at) = FIRST.get_or_init(|| (Instant::now(), unix()));
--- a/src/core/connection_runtime.rs
+++ b/src/core/connection_runtime.rs
@@ -6,9 +6,9 @@
 
 /// Starts and wakes the tasks of a coordinator, and provides the resources that they share.
 pub(super) trait ConnectionRuntime {
-    /// The pool of buffers.
+    /// The pool from which commands and results take their buffers.
     fn pool(&self) -> &BufferPool;
-    /// Limits and timeouts of connections.
+    /// Limits and timeouts that apply to every connection.
     fn limits(&self) -> &ConnectionLimits;
     /// Starts the task that dials and serves a connection.
     fn start_connection(&self, connection: Rc<EngineConnection>);
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -22,69 +22,72 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// Time for which a dial that fails for a local reason is repeated. The attempts that wait for it end after
-/// that and may be retried at another engine.
+/// Time for which a dial that fails for a local reason is repeated. After this time, the attempts that wait
+/// for the connection end and may be retried at another engine.
 const MAX_LOCAL_FAILURE: Duration = Duration::from_millis(300);
 /// Backoff before a dial that failed for a local reason is repeated.
 const DIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Time between two checks of whether a connection has been idle for too long.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without a further byte of an incomplete answer after which its connection is closed. Engines write an
-/// answer at once, so the rest of a stalled answer will not arrive.
+/// Time without a further byte of an incomplete answer after which the connection is closed. Engines write an
+/// answer in one piece, so the rest of a stalled answer will not arrive.
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time from the first byte of an answer until it must be complete: all attempts on the connection wait
-/// behind it.
+/// Time from the first byte of an answer until the answer must be complete, because all other answers on the
+/// connection wait behind it.
 const ANSWER_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
 
 /// The owner of the attempts on a connection.
 pub trait ConnectionOwner: 'static {
-    /// The pool of buffers.
+    /// The pool from which received bytes take their buffers.
     fn pool(&self) -> &BufferPool;
-    /// Limits and timeouts of connections.
+    /// Limits and timeouts that apply to every connection.
     fn limits(&self) -> &ConnectionLimits;
-    /// Applies an answer of the engine.
+    /// Applies one complete answer of the engine. `parts`: the elements of the answer's array.
     ///
     /// # Errors
-    /// If the answer violates the protocol; the connection is closed then.
+    /// If the answer violates the protocol; the caller then closes the connection.
     fn on_answer(
         self: &Rc<Self>,
         connection: &EngineConnection,
         parts: &[&[u8]],
     ) -> Result<(), EngineAnswerError>;
-    /// Handles the end of the connection. `reason` is empty if the end is not a fault; `is_local`: this
-    /// process closed the connection or could not make it.
+    /// Handles the end of the connection. `reason`: text for the log, empty if the end is not a fault;
+    /// `is_local`: whether this process closed the connection or could not make it.
     fn on_connection_down(self: &Rc<Self>, connection: &Rc<EngineConnection>, reason: &str, is_local: bool);
-    /// Authorizes the sending of an attempt just before its first byte. Returns false if the attempt may not
-    /// be sent; the owner has then withdrawn it or queued it again. The state may have changed since the
-    /// engine was selected, while the attempt waited for a dial or behind a slow peer.
+    /// Authorizes the sending of an attempt just before its first byte: the state may have changed since the
+    /// engine was selected, while the attempt waited for a dial or behind a slow peer. Returns false if the
+    /// attempt may not be sent; the owner has then withdrawn it or queued it again.
     fn authorize_send(self: &Rc<Self>, _connection: &EngineConnection, _id: u64, _attempt: u32) -> bool {
         true
     }
-    /// Counts attempts that were sent completely.
+    /// Counts `attempts` attempts whose last byte was sent.
     fn on_attempts_sent(&self, _attempts: u64) {}
-    /// Records that the connection has opened.
+    /// Handles the opening of the connection.
     fn on_connection_up(self: &Rc<Self>, _connection: &EngineConnection) {}
 }
 
-/// Why a connection ended.
+/// The end of a connection.
 struct ConnectionEnd {
+    /// Reason for the log; empty if the end is not a fault.
     reason: String,
-    /// This process closed the connection, or could not make it.
+    /// Whether this process closed the connection, or could not make it.
     is_local: bool,
 }
 
 impl ConnectionEnd {
-    /// The engine or the network ended the connection, or a dial timed out.
+    /// An end that is not attributed to this process: the engine or the network ended the connection, or a
+    /// dial timed out.
     fn remote(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: false }
     }
 
-    /// This process closed the connection, or could not make it.
+    /// An end that is attributed to this process, which closed the connection or could not make it.
     fn local(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: true }
     }
 
-    /// The bytes received violate the protocol: nothing else on the connection can be trusted.
+    /// An end because the received bytes violate the protocol: no further byte on the connection can be
+    /// trusted.
     fn unreadable(error: impl std::fmt::Display) -> ConnectionEnd {
         ConnectionEnd::local(format!("unreadable: {error}"))
     }
@@ -143,8 +146,8 @@
     owner.on_connection_up(connection);
     let (reader, writer) = stream.into_split();
     tokio::select! {
-        // Reads are polled first: if the engine has closed the connection, the queued attempts count as never
-        // sent.
+        // Reads are polled before writes: if the engine has closed the connection, no queued attempt is
+        // written any more, so that these attempts count as never sent.
         biased;
         end = read(owner, connection, SocketReader::new(reader)) => end,
         end = write(owner, connection, writer) => end,
@@ -199,9 +202,9 @@
     }
 }
 
-/// Whether the peer has closed a connection with nothing in flight. The socket itself is checked, because the
-/// runtime sees the close only at its next poll: an attempt written to a connection that its engine has just
-/// closed as idle would count as one that may have run.
+/// Whether the peer has closed a connection with nothing in flight. Peeks into the socket itself, because the
+/// runtime sees the close only at its next poll: an attempt that is written to a connection that its engine
+/// has just closed as idle would count as one that may have run.
 fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     match retry_interrupted(|| SockRef::from(stream).peek(&mut byte)) {
@@ -210,8 +213,8 @@
     }
 }
 
-/// Authorizes the sending of each attempt whose command begins between two offsets; returns whether all may
-/// be sent. The commands of attempts that may not be sent are then withdrawn from the stream or queued again.
+/// Authorizes the sending of each attempt whose command begins between two offsets of the stream; returns
+/// whether all of them may be sent. The owner withdraws or requeues the commands of the other attempts.
 fn authorize_all<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -1,11 +1,12 @@
 //! The coordinator connects the parts of the core.
 //!
 //! Input: requests of the fronts, events of the endpoint list, events of connections, and timers. Output:
-//! events for the policy, and its commands, carried out on the request table, the engine table and the
-//! connections. State: the parts, each of which owns its state.
+//! events for the policy, and the execution of the policy's commands on the request table, the engine table
+//! and the connections. State: the parts, each of which owns its own state.
 //!
-//! Each request has one owner, [`PendingRequest`], and each attempt one, [`InFlightAttempt`]. A late event
-//! finds no owner and has no effect.
+//! The state of a request has one owner, [`PendingRequest`], and the state of an attempt has one owner,
+//! [`InFlightAttempt`]. An event that arrives after the end of its request or attempt finds no owner and has
+//! no effect.
 //!
 //! Attempts and requests end separately:
 //! - An attempt ends in `end_attempt`, which takes it out of its request and releases its connection. It
@@ -15,10 +16,10 @@
 //! - A request ends in `complete`, the only place that gives a final response. It withdraws the attempt in
 //!   flight if no byte of it was sent.
 //! - `expire` acts at the deadline: it cancels the attempt, calls `end_attempt`, carries out the policy's
-//!   commands, and calls `complete` if these gave no response.
-//! - `abandon` acts when the client has gone. There is no response: an unsent attempt is withdrawn, and the
-//!   policy gets `RequestAbandoned`, on which it cancels an attempt that was sent. `expire` and
-//!   `complete_all` (the shutdown) also send that event, after `complete`.
+//!   commands, and calls `complete` if these commands gave no response.
+//! - `abandon` acts when the client has disconnected or cancelled its request. There is no response: an unsent
+//!   attempt is withdrawn, and the policy gets `RequestAbandoned`, upon which it cancels an attempt that was
+//!   sent. `expire` and `complete_all` (the shutdown) also send `RequestAbandoned`, after `complete`.
 //! - `remove_if_done` removes a request that has ended and whose last attempt has ended.
 //!
 //! [`InFlightAttempt`]: super::attempt::InFlightAttempt
@@ -52,9 +53,10 @@
 mod fleet;
 mod responses;
 
-/// Settings of a new coordinator.
+/// The policy's settings, the seed and the names of zones and machine kinds, from which a coordinator is
+/// created.
 pub(super) struct CoordinatorConfig {
-    /// Settings of the policy.
+    /// Settings of the policy, and of the send guard and the invariant monitor, which check the same rules.
     pub(super) settings: Settings,
     /// Seed of the policy, of start-up control and of generated ids.
     pub(super) seed: u64,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Enables start-up control.
+    /// Enables start-up control. `name`: this manager's configured name.
     pub(super) fn enable_startup_control(&mut self, settings: &StartupConfig, name: &str) {
         let listed = self.engines.listed_count();
         self.startup = Some(StartupControl::new(settings, name, self.seed, listed, now()));
@@ -116,7 +118,7 @@
         self.startup.as_mut()
     }
 
-    /// Generates a random id. Two ids of one process are equal only by chance.
+    /// Generates a pseudorandom id, which is not compared with earlier ones.
     pub(super) fn generate_id(&mut self) -> u64 {
         self.ids.next_id(now())
     }
@@ -132,8 +134,9 @@
         self.send_guard.set_shutdown_deadline(deadline);
     }
 
-    /// Adds a request; returns the receiver of its final response, or `None` if its id is pending or was
-    /// recently used for another statement.
+    /// Adds a request; returns the receiver of its final response, or `None` if a request with the same id is
+    /// pending or the id was recently used for another statement. `accounting` creates the request's entry in
+    /// the metrics, and is called only if the request is added.
     pub(super) fn submit(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -175,8 +178,8 @@
         self.startup.as_mut()?.admit(now, pending).err()
     }
 
-    /// Abandons a request whose client has disconnected or, if `was_cancelled`, has cancelled it. The front
-    /// responds to a cancellation.
+    /// Abandons a request whose client has disconnected or, if `was_cancelled`, has cancelled it. The front,
+    /// not the core, responds to a client that has cancelled its request.
     pub(super) fn abandon(&mut self, runtime: &dyn ConnectionRuntime, id: u64, was_cancelled: bool) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.responder.take().is_none() {
@@ -189,7 +192,7 @@
         self.remove_if_done(id);
     }
 
-    /// Carries out commands of the policy, and the commands that follow from them.
+    /// Carries out commands of the policy, and the commands with which the policy reacts to their effects.
     pub(super) fn execute(&mut self, runtime: &dyn ConnectionRuntime, commands: Vec<PolicyCommand>) {
         let mut queue = VecDeque::from(commands);
         while let Some(command) = queue.pop_front() {
@@ -233,7 +236,8 @@
         }
     }
 
-    /// Time at which [`Coordinator::process_due`] must be called next.
+    /// Time at which [`Coordinator::process_due`] or [`Coordinator::check_zones`] must be called next; `None`
+    /// if nothing is due.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         let timer = self.policy.next_due();
         let request = self.requests.next_due();
@@ -241,7 +245,8 @@
         timer.into_iter().chain(request).chain(zone_check).min()
     }
 
-    /// Processes everything that is due: log lines, timers of the policy, cancellations and deadlines.
+    /// Processes all work that is due: the log line, timers of the policy, checks of cancellations, and
+    /// deadlines. Also reads the wall clock, to detect its steps.
     pub(super) fn process_due(&mut self, runtime: &dyn ConnectionRuntime) {
         self.policy.observe_wall_clock();
         if self.statistics.is_log_due(now()) {
@@ -259,8 +264,8 @@
         }
     }
 
-    /// Responds to a request whose deadline has passed. Usually the policy has responded before the deadline;
-    /// this function covers the case that it has not.
+    /// Responds to a request whose deadline has passed without a response. Usually the policy has rejected or
+    /// failed the request before its deadline.
     fn expire(&mut self, runtime: &dyn ConnectionRuntime, id: u64) {
         if let Some(attempt) = self.requests.in_flight(id).map(|attempt| attempt.number) {
             self.cancel_attempt(runtime.pool(), id, attempt);
