--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -191,8 +191,8 @@
         drop(previous);
     }
 
-    /// Submits a request; returns `None` if a request with the same id is pending, or the id was recently used
-    /// for another statement.
+    /// Submits a request; returns `None` if a request with the same id is pending, or the id was recently
+    /// used for another statement.
     pub fn submit(self: &Rc<Self>, request: Request) -> Option<RequestHandle> {
         let id = request.spec.id;
         let class = request.spec.class;
--- a/src/core/buffer_pool.rs
+++ b/src/core/buffer_pool.rs
@@ -31,8 +31,8 @@
 #[derive(Clone, Debug)]
 pub struct BufferPool(Rc<PoolState>);
 
-/// A buffer that returns to its pool when dropped. Writers must not exceed [`BUFFER_BYTES`]: a buffer that has
-/// grown is freed instead.
+/// A buffer that returns to its pool when dropped. Writers must not exceed [`BUFFER_BYTES`]: a buffer that
+/// has grown is freed instead.
 #[derive(Debug)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -53,9 +53,9 @@
         Some(self.get_beyond_limit())
     }
 
-    /// An empty buffer, even if the limit on buffers in use is reached: for data that cannot be rejected, such
-    /// as a cancellation, an error to a client or received bytes. Each connection and each session has at
-    /// most two of these buffers, so the limits on connections and sessions also bound their number. They
+    /// An empty buffer, even if the limit on buffers in use is reached: for data that cannot be rejected,
+    /// such as a cancellation, an error to a client or received bytes. Each connection and each session has
+    /// at most two of these buffers, so the limits on connections and sessions also bound their number. They
     /// count as in use, so that new requests are rejected until buffers are returned.
     pub fn get_beyond_limit(&self) -> Buffer {
         self.0.in_use.set(self.0.in_use.get() + 1);
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -8,8 +8,8 @@
 
 /// The current time: the Unix time of the first call, advanced by the monotonic clock.
 ///
-/// All deadlines and spans are measured on this clock, so that a step of the system clock neither shortens nor
-/// prolongs them.
+/// All deadlines and spans are measured on this clock, so that a step of the system clock neither shortens
+/// nor prolongs them.
 pub fn now() -> Timestamp {
     static FIRST: OnceLock<(Instant, Timestamp)> = OnceLock::new();
     let (first_call, started_at) = FIRST.get_or_init(|| (Instant::now(), unix()));
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -17,9 +17,10 @@
 //!   flight if no byte of it was sent.
 //! - `expire` acts at the deadline: it cancels the attempt, calls `end_attempt`, carries out the policy's
 //!   commands, and calls `complete` if these commands gave no response.
-//! - `abandon` acts when the client has disconnected or cancelled its request. There is no response: an unsent
-//!   attempt is withdrawn, and the policy gets `RequestAbandoned`, upon which it cancels an attempt that was
-//!   sent. `expire` and `complete_all` (the shutdown) also send `RequestAbandoned`, after `complete`.
+//! - `abandon` acts when the client has disconnected or cancelled its request. There is no response: an
+//!   unsent attempt is withdrawn, and the policy gets `RequestAbandoned`, upon which it cancels an attempt
+//!   that was sent. `expire` and `complete_all` (the shutdown) also send `RequestAbandoned`, after
+//!   `complete`.
 //! - `remove_if_done` removes a request that has ended and whose last attempt has ended.
 //!
 //! [`InFlightAttempt`]: super::attempt::InFlightAttempt
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: each is sent once, cancelled at most once, and ends once.
+//! The life cycle of an attempt: it is sent at most once, cancelled at most once, and ends once.
 //!
 //! Input: commands of the policy, and answers of engines. Output: commands to engines, and the end of each
 //! attempt as an event for the policy. State: none in this module; the attempt is part of its request's entry
@@ -21,9 +21,10 @@
 use std::rc::Rc;
 use tracing::{debug, error, warn};
 
-/// Time by which the deadline that an unsent command gives to its engine may exceed its client's; beyond it
-/// the command is queued again with the time that is left. It has to stay below the platform's slack on
-/// deadlines, and above the usual delays of a busy machine, which would otherwise queue commands repeatedly.
+/// Time by which the deadline in an unsent command may exceed the client's deadline; beyond this excess the
+/// command is queued again with the time that is left. The excess has to stay below the platform's slack on
+/// deadlines (150 ms), and above the usual delays of a busy machine, which would otherwise cause commands to
+/// be queued repeatedly.
 const MAX_DEADLINE_EXCESS: TimeDelta = TimeDelta::from_millis(50);
 
 /// The end of an attempt, as reported to the policy.
@@ -33,9 +34,9 @@
     outcome: AttemptOutcome,
     /// Time since the attempt was queued to its connection; zero if it never was.
     latency: TimeDelta,
-    /// The cost of the query, if the engine has reported it.
+    /// The cost of the query; `None` if the engine has not reported it.
     cost: Option<QueryCost>,
-    /// The engine's last load report on this attempt.
+    /// The load report in the engine's last answer to this attempt; all zero if there was none.
     load_report: LoadStats,
 }
 
@@ -48,8 +49,9 @@
 }
 
 impl Coordinator {
-    /// Starts an attempt of a request at an engine. An attempt that cannot be queued also gets a number: the
-    /// policy has counted it and expects its end.
+    /// Starts an attempt of a request at an engine; returns the policy's commands if the attempt ends at
+    /// once. An attempt that cannot be queued also gets a number: the policy has counted it and expects its
+    /// end.
     pub(super) fn start_attempt(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -76,7 +78,8 @@
         self.queue_command(runtime.pool(), id, attempt, connection, time_left)
     }
 
-    /// Queues the command of an attempt to a connection: the attempt is in flight from then on.
+    /// Queues the command of an attempt to a connection, from which time the attempt is in flight; if the
+    /// pool has no buffer, the attempt ends as one that never ran.
     fn queue_command(
         &mut self,
         pool: &BufferPool,
@@ -98,9 +101,9 @@
     /// Authorizes the sending of an attempt just before its first byte, and charges a retry to the retry
     /// budget; returns false if the attempt may not be sent. No attempt is sent without this check.
     ///
-    /// An attempt that may not be sent is withdrawn and ends as one that never ran. An attempt that is no
-    /// longer in flight is only withdrawn. An attempt that has waited for too long is queued again with the
-    /// time that is left, and is checked again before its first byte.
+    /// An attempt that breaks a rule is withdrawn and ends as one that never ran. If the attempt is no longer
+    /// in flight, only its command is withdrawn. An attempt that has waited for too long is queued again with
+    /// the time that is left, and is checked again before its first byte.
     pub(in crate::core) fn authorize_send(
         &mut self,
         pool: &BufferPool,
@@ -149,7 +152,7 @@
         })
     }
 
-    /// Withdraws an attempt that may not be sent; `process_due` reports its end.
+    /// Withdraws an attempt that may not be sent, for `reason`; `process_due` ends it.
     fn withdraw_unauthorized(
         &mut self,
         now: Timestamp,
@@ -173,8 +176,8 @@
         );
     }
 
-    /// Queues the command of an attempt again, with the time that is left, if the deadline in the command has
-    /// become too late. Returns whether it was queued again.
+    /// Queues the command of an attempt again, with the time that is left, if the deadline in the command
+    /// exceeds the client's by more than [`MAX_DEADLINE_EXCESS`]. Returns whether it was queued again.
     fn requeue_if_delayed(
         &mut self,
         now: Timestamp,
@@ -196,8 +199,9 @@
         true
     }
 
-    /// Records the first byte of an attempt: once in the retry budget, and at each call in the invariant
-    /// monitor.
+    /// Records that the first byte of an attempt is about to be sent. May be called again for the same
+    /// attempt while its command waits for a slow peer: the retry budget is charged only at the first call,
+    /// and the invariant monitor ignores a repeated call.
     fn record_first_byte(
         &mut self,
         now: Timestamp,
@@ -225,7 +229,8 @@
         self.monitor.record_first_byte(now, &sent);
     }
 
-    /// Reports the end of an attempt to the policy. The attempt is no longer in flight.
+    /// Counts the end of an attempt and reports it to the policy; returns the policy's commands. The caller
+    /// has removed the attempt from the request, if it was in flight.
     fn report_end(&mut self, id: u64, end: AttemptEnd) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
         let outcome = end.outcome;
@@ -252,7 +257,8 @@
         commands
     }
 
-    /// Ends the attempt in flight of a request.
+    /// Ends the attempt in flight of a request, and completes the request if it was served; returns the
+    /// policy's commands.
     pub(super) fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Vec<PolicyCommand> {
         let Some(attempt) = self.requests.take_in_flight(id) else { return Vec::new() };
         attempt.connection.release(id, outcome != AttemptOutcome::Served);
@@ -279,9 +285,9 @@
         commands
     }
 
-    /// Withdraws the attempt of a completed request if it was not sent; `process_due` reports its end. An
-    /// attempt that was sent in part can only be stopped by closing its connection. Returns the commands that
-    /// follow.
+    /// Withdraws the attempt of a completed or abandoned request if no byte of it was sent; `process_due`
+    /// ends the attempt. An attempt that was sent in part can only be stopped by closing its connection.
+    /// Returns the policy's commands.
     pub(super) fn withdraw_attempt(&mut self, id: u64) -> Vec<PolicyCommand> {
         let Some(attempt) = self.requests.in_flight_mut(id) else { return Vec::new() };
         match attempt.connection.withdraw(id) {
@@ -324,10 +330,12 @@
     }
 
     /// Applies an answer that an engine sent on a connection. Only an answer to an attempt on this connection
-    /// is parsed; others, such as those to duplicates, are skipped whatever their content.
+    /// is parsed. All other answers, such as an answer to a duplicate, are ignored even if they are
+    /// malformed; a late result of several pages is released.
     ///
     /// # Errors
-    /// If the answer violates the protocol: nothing else on the connection can be trusted then.
+    /// If the answer violates the protocol. The connection must then be closed, because no further byte on it
+    /// can be trusted.
     pub(in crate::core) fn on_answer(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -359,15 +367,15 @@
     }
 }
 
-/// The id of the request that an answer names.
+/// Parses the request id in an answer: 16 hexadecimal digits.
 fn parse_id(name: Option<&[u8]>) -> Result<u64, EngineAnswerError> {
     let text = name.and_then(|name| std::str::from_utf8(name).ok()).filter(|text| text.len() == 16);
     let id = text.and_then(|text| u64::from_str_radix(text, 16).ok());
     id.ok_or(EngineAnswerError::InvalidId)
 }
 
-/// Releases the result that a late answer to an ended attempt announces, which the engine would keep
-/// otherwise.
+/// Releases the result that a late answer to an ended attempt announces. The engine would otherwise keep the
+/// result until all its pages were fetched.
 fn release_late_result(pool: &BufferPool, connection: &EngineConnection, id: u64, parts: &[&[u8]]) {
     if !connection.has_ended_unserved(id) {
         return;
@@ -378,12 +386,12 @@
     }
 }
 
-/// The command that sends an attempt.
+/// The parts of the command that sends an attempt: its name, the request id, the fields and the statement.
 fn query_command<'a>(request: &'a PendingRequest, name: &'a str, fields: &'a str) -> [&'a [u8]; 4] {
     [engine_command::QUERY, name.as_bytes(), fields.as_bytes(), &request.statement[..]]
 }
 
-/// The fields of the command that sends an attempt.
+/// The fields of the command that sends an attempt, in the form of the engines' protocol.
 fn format_fields(request: &PendingRequest, time_left: TimeDelta) -> String {
     let fields = QueryFields {
         class: &request.class_name,
--- a/src/core/coordinator/cordons.rs
+++ b/src/core/coordinator/cordons.rs
@@ -1,7 +1,7 @@
 //! Cordoned engines.
 //!
 //! Input: calls of operators, cordons of other processes, and the ids of the endpoint list. Output: the list
-//! for the policy, in which a cordoned engine is draining whatever its entry says, so that a cordon is
+//! for the policy, in which a cordoned engine that is listed as ready is draining, so that a cordon is
 //! handled like any drain. State: none in this module; `sprucelink_cordon` holds the cordons and decides on
 //! them.
 
@@ -17,10 +17,11 @@
 use tracing::{info, warn};
 
 impl Coordinator {
-    /// Cordons an engine; `Ok` also if it is already cordoned.
+    /// Cordons the engine with this id; `Ok` also if it is already cordoned.
     ///
     /// # Errors
-    /// If the id was never listed, or the call exceeds the limits on cordons.
+    /// If the id is invalid or was never listed, the lease is invalid, or the number of active cordons has
+    /// reached its limit.
     pub(in crate::core) fn cordon_engine(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -35,10 +36,10 @@
         Ok(outcome)
     }
 
-    /// Ends a cordon of the same caller; `Ok` also if there is none.
+    /// Ends the engine's cordon by this cause; `Ok` also if there is none. Cordons by other causes stay.
     ///
     /// # Errors
-    /// If the id was never listed.
+    /// If the id is invalid or was never listed.
     pub(in crate::core) fn uncordon_engine(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The number of listed engines, and the number of listed engines that get no requests.
+    /// The number of listed engines, and how many of them get no requests.
     pub(in crate::core) fn engine_counts(&self) -> EngineCounts {
         let views = self.policy.engine_views();
         let is_avoided = |index: usize, id: &str| {
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Records which engines a list names, so that operators can cordon and uncordon them.
+    /// Records which engines are listed, so that operators can cordon and uncordon them. A complete list
+    /// marks the engines that it omits as unlisted.
     pub(super) fn record_listed_ids(&mut self, list: &ListEvent) {
         for member in &list.members {
             match member.phase {
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Returns a list with its cordoned engines set to draining; `None` if no entry changes.
+    /// Returns a copy of the list in which cordoned engines are draining instead of ready; `None` if no entry
+    /// changes.
     pub(super) fn apply_cordons(&self, list: &ListEvent) -> Option<ListEvent> {
         let is_cordoned = |member: &Endpoint| {
             member.phase == EndpointPhase::Ready && self.cordons.is_engine_cordoned(&member.id)
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -18,7 +18,7 @@
 
 impl Coordinator {
     /// Applies an event of the endpoint list or, if the event arrives late, the part of it that is new.
-    /// `is_cached`: the list was stored before this process started and may be out of date.
+    /// `is_cached`: whether the list was stored before this process started and may be out of date.
     pub(in crate::core) fn on_endpoint_list(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records the last event that named each engine, and the list's revision, also of a list without
-    /// engines.
+    /// Records the list's revision, and for each engine that the list names the number of the event. The
+    /// revision is recorded even if the list names no engine.
     fn record_revision_and_event(&mut self, list: &ListEvent) {
         self.engines.record_revision(list.revision);
         for member in &list.members {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Applies the entries of a list, with cordoned engines as draining; returns the commands that follow.
+    /// Applies the entries of a list, with cordoned engines as draining; returns the policy's commands.
     pub(super) fn apply_members(&mut self, list: &ListEvent, is_cached: bool) -> Vec<PolicyCommand> {
         let with_cordons = self.apply_cordons(list);
         let effective = with_cordons.as_ref().unwrap_or(list);
@@ -78,8 +78,8 @@
             }
             log_entry(index, entry, listed);
         }
-        // No attempt may be sent to a draining engine. Attempts that wait for a connection or behind a slow
-        // peer would still be sent.
+        // No attempt may be sent to a draining engine. Without this step, attempts that wait for a connection
+        // or behind a slow peer would still be sent.
         for index in 0..self.engines.len() {
             if self.engines.get(index).is_some_and(|engine| !engine.is_ready) {
                 commands.extend(self.withdraw_unsent(index));
@@ -88,8 +88,8 @@
         commands
     }
 
-    /// Withdraws the unsent attempts at an engine and cancels its dials. These attempts never ran, so they
-    /// are retried whatever the class of their request.
+    /// Withdraws the unsent attempts at an engine and cancels its dials; returns the policy's commands. These
+    /// attempts never ran, so the policy may retry requests of any class.
     fn withdraw_unsent(&mut self, engine: usize) -> Vec<PolicyCommand> {
         let mut commands = Vec::new();
         let connections = self.engines.get(engine).map(|engine| engine.connections.clone());
@@ -107,10 +107,11 @@
         commands
     }
 
-    /// Returns a connection to an engine for a request: an existing one or a new one.
+    /// Returns a connection to an engine for an attempt of a request: an existing connection if one accepts
+    /// the request, otherwise a new one. `index`: the index of the engine.
     ///
     /// # Errors
-    /// The outcome of the attempt, if no connection is available for it.
+    /// The outcome of the attempt, if the engine's address is unknown or a limit on connections is reached.
     pub(super) fn connection_for(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -132,7 +133,7 @@
         Ok(connection)
     }
 
-    /// Records that a connection has opened.
+    /// Records that a connection has opened, for readiness and gossip.
     pub(in crate::core) fn on_connection_up(&mut self, connection: &EngineConnection) {
         if let Some(startup) = &mut self.startup {
             startup.record_connection();
@@ -140,8 +141,8 @@
         self.fleet.record_connection(now(), self.engines.get(connection.engine), true);
     }
 
-    /// Handles the end of a connection. `reason` is empty if the end is not a fault; `is_local`: this process
-    /// closed the connection.
+    /// Handles the end of a connection. `reason`: text for the log, empty if the end is not a fault;
+    /// `is_local`: whether this process closed the connection or could not make it.
     pub(in crate::core) fn on_connection_down(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -160,12 +161,12 @@
         self.execute(runtime, commands);
     }
 
-    /// Closes a connection and ends every attempt on it, each once.
+    /// Closes a connection and ends each attempt on it; returns the policy's commands.
     ///
     /// An attempt that was not sent completely never ran. A lost connection counts as one fault of its
-    /// engine, however many attempts were in flight. If this process closes the connection (`is_local`), the
-    /// sent attempts stay in flight until the close has reached the engine; otherwise the next attempts could
-    /// run concurrently with them.
+    /// engine, regardless of the number of attempts in flight. If this process closes the connection
+    /// (`is_local`), the sent attempts stay in flight until the close has reached the engine; otherwise the
+    /// next attempts of their requests could run concurrently with them.
     pub(super) fn close_connection(
         &mut self,
         connection: &Rc<EngineConnection>,
--- a/src/core/coordinator/fleet.rs
+++ b/src/core/coordinator/fleet.rs
@@ -13,8 +13,8 @@
 use sprucelink_membership::GossipPayload;
 
 impl Coordinator {
-    /// Sets the number of managers and the retries that the other managers leave to this one, and notifies
-    /// the policy.
+    /// Sets the number of managers, this one included, and the number of retries that this manager may make
+    /// beyond its own retry budget; notifies the policy.
     pub(in crate::core) fn set_fleet(
         &mut self,
         runtime: &dyn ConnectionRuntime,
@@ -56,12 +56,12 @@
         self.fleet.enable_zone_routing(zone_routing);
     }
 
-    /// Replaces the other managers' observations; `observers` is called only if failover is on.
+    /// Replaces the other managers and their observations; `observers` is called only if failover is on.
     pub(in crate::core) fn set_observers(&mut self, observers: impl FnOnce() -> Vec<Observer>) {
         self.fleet.set_observers(observers);
     }
 
-    /// Evaluates the zones if that is due, and notifies the policy of their new weights.
+    /// Evaluates the zones if an evaluation is due, and notifies the policy if their weights have changed.
     pub(in crate::core) fn check_zones(&mut self, runtime: &dyn ConnectionRuntime) {
         let commands = match self.due_zone_weights() {
             Some(weights) => self.policy.on_event(now(), PolicyEvent::ZoneWeights(weights)),
@@ -70,7 +70,7 @@
         self.execute(runtime, commands);
     }
 
-    /// The weights of the zones, if an evaluation is due and has changed them.
+    /// The weights of the zones by index, if an evaluation is due and changes them; otherwise `None`.
     fn due_zone_weights(&mut self) -> Option<Vec<f64>> {
         let check_at = self.fleet.next_zone_check()?;
         if now() < check_at {
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -1,7 +1,7 @@
-//! Final responses: each request gets one.
+//! Final responses: each request gets exactly one, unless its client has abandoned it.
 //!
-//! Input: the response to a request, or the policy's command to reject or fail it. Output: the response, to
-//! the front, and commands that follow. State: none in this module; the responder is part of the request's
+//! Input: the response to a request, or the policy's command to reject or fail it. Output: the response for
+//! the front, and the policy's commands. State: none in this module; the responder is part of the request's
 //! entry in the request table.
 
 use super::Coordinator;
@@ -18,12 +18,13 @@
 
 /// Time before the deadline of a request within which a rejection or failure is reported as
 /// [`UnservedReason::DeadlineExceeded`]. The policy responds to a request whose deadline is 50 ms away
-/// (`RESPONSE_MARGIN`); this is 10 ms more, so that each such response has this reason.
+/// (`RESPONSE_MARGIN`); this margin is 10 ms longer, so that all these responses have this reason.
 const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl Coordinator {
-    /// Rejects a request: a retry by its client does no harm. Either no attempt of the request can have run,
-    /// or its class is idempotent and an attempt may have run.
+    /// Gives a request the final response that it is rejected; returns the policy's commands. The policy
+    /// rejects a request only if a retry by the client does no harm: no attempt can have run, the class is
+    /// idempotent, or all engines deduplicate the request by its idempotency key.
     pub(super) fn reject(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let is_late = request.deadline - now() < DEADLINE_MARGIN;
@@ -31,15 +32,16 @@
         self.complete(id, Response::Rejected { reason, retry_after: retry_after.max(MIN_RETRY_AFTER) })
     }
 
-    /// Fails a request: an attempt of the request may have run.
+    /// Gives a request the final response that it failed; returns the policy's commands. The policy fails a
+    /// request if an attempt may have run and a retry by the client may run the request twice.
     pub(super) fn fail(&mut self, id: u64, retry_after: TimeDelta) -> Vec<PolicyCommand> {
         let reason = self.requests.get(id).map_or(UnservedReason::Overloaded, failure_reason);
         self.complete(id, Response::Failed { reason, retry_after: retry_after.max(MIN_RETRY_AFTER) })
     }
 
-    /// Gives a request its final response; returns the commands that follow. No other function gives one: the
-    /// responder is taken out of the request's entry, so that a second response cannot be sent. An unsent
-    /// attempt is withdrawn.
+    /// Gives a request its final response and withdraws its attempt if it is unsent; returns the policy's
+    /// commands. No other function gives a final response. The responder is taken out of the request's entry,
+    /// so that a second response cannot be sent.
     pub(in crate::core) fn complete(&mut self, id: u64, response: Response) -> Vec<PolicyCommand> {
         let commands = self.withdraw_attempt(id);
         let Some(request) = self.requests.get_mut(id) else { return commands };
@@ -64,8 +66,8 @@
         commands
     }
 
-    /// Gives every pending request its final response ([`shutdown_response`]), because this process is
-    /// shutting down. Returns the number of requests.
+    /// Gives every request that has no final response yet its response ([`shutdown_response`]), because this
+    /// process is shutting down. Returns the number of these requests.
     pub(in crate::core) fn complete_all(&mut self, runtime: &dyn ConnectionRuntime) -> usize {
         let ids = self.requests.awaited_ids();
         for id in &ids {
@@ -86,8 +88,8 @@
     }
 }
 
-/// The response to a request that is pending when this process shuts down. Its attempt is withdrawn if that
-/// is possible: a request whose only attempt was withdrawn cannot have run.
+/// The response to a request that is pending when this process shuts down. Withdraws the request's attempt if
+/// no byte of it was sent: a request whose only attempt was withdrawn cannot have run.
 ///
 /// The response depends on the number of attempts, not on `may_have_run_since` or the class. Two kinds of
 /// requests therefore fail although a retry by the client would do no harm: a request whose earlier attempts
@@ -104,7 +106,8 @@
     }
 }
 
-/// The reason for the failure of a request, from the outcome of its last attempt.
+/// The reason for the failure of a request: its deadline if it has passed or is close, otherwise derived from
+/// the outcome of the last attempt.
 fn failure_reason(request: &PendingRequest) -> UnservedReason {
     if request.deadline - now() < DEADLINE_MARGIN {
         return UnservedReason::DeadlineExceeded;
--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -13,11 +13,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Request 1 is served: one page of one row.
+/// The engine's answer that request 1 is served, with a result of one page of one row.
 const SERVED: &[u8] =
     b"*4\r\n$16\r\n0000000000000001\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$6\r\na\tb\tc\n\r\n";
 
-/// Waits until a condition is met; the tasks of the core run meanwhile.
+/// Waits until a condition is met, while the tasks of the core run; panics after 20 s.
 async fn wait_until(mut is_met: impl FnMut() -> bool) {
     for _ in 0..20_000 {
         if is_met() {
@@ -28,6 +28,7 @@
     panic!("the condition was not met within 20 s");
 }
 
+/// The connection that carries the attempt in flight of a request.
 fn connection_of(core: &Core, id: u64) -> Option<Rc<EngineConnection>> {
     let coordinator = core.coordinator.borrow();
     coordinator.requests.in_flight(id).map(|attempt| Rc::clone(&attempt.connection))
@@ -36,7 +37,7 @@
 /// The ids of the requests that a peer received completely, up to the end of the connection.
 async fn received_ids(peer: &mut TcpStream) -> Vec<u64> {
     let mut received = Vec::new();
-    // A read error also ends the connection.
+    // A read error counts as the end of the connection.
     while peer.read_buf(&mut received).await.is_ok_and(|n| n > 0) {}
     let mut ids = Vec::new();
     while let Ok(Some(resp::Array { parts, length: len })) = resp::read_array(&received, usize::MAX) {
@@ -68,8 +69,8 @@
     (handles, connection.expect("a connection"))
 }
 
-/// Nothing may be sent to a draining engine. Attempts queued behind a peer that reads nothing would be sent
-/// once it reads again, minutes later. They never ran, so they are retried.
+/// Nothing may be sent to a draining engine. Attempts that are queued behind a peer that reads nothing would
+/// be sent once the peer reads again, perhaps minutes later. They never ran, so they are retried.
 #[test]
 fn attempts_behind_a_slow_peer_are_withdrawn_when_their_engine_drains() {
     run_local(async {
@@ -112,8 +113,8 @@
     });
 }
 
-/// An attempt that waits for a connection to an engine that has restarted, or whose address another engine
-/// has now, would reach a process that was not selected for it.
+/// An attempt may wait for a connection to an engine that has restarted or moved. It would then reach a
+/// process that was not selected for it.
 #[test]
 fn unsent_attempt_is_withdrawn_when_its_engine_moves() {
     run_local(async {
@@ -151,7 +152,7 @@
 }
 
 /// The state may change after the policy has selected an engine, so an attempt is checked just before its
-/// first byte. It is not checked after that.
+/// first byte, and not after its first byte.
 #[test]
 fn attempt_is_checked_just_before_its_first_byte() {
     run_local(async {
@@ -223,8 +224,8 @@
     });
 }
 
-/// An engine may close an idle connection just before it is used: the close has arrived, this process has not
-/// polled the socket yet, and an attempt written now would count as one that may have run.
+/// An engine may close an idle connection just before an attempt uses it. When the close has arrived but this
+/// process has not polled the socket yet, an attempt that is written would count as one that may have run.
 #[test]
 fn attempt_on_an_idle_connection_closed_by_its_engine_never_ran_and_is_retried() {
     run_local(async {
@@ -233,19 +234,20 @@
         let mut first = core.submit(request(&core, 1)).expect("accepted");
         let connection = connection_of(&core, 1).expect("in flight");
         let (mut peer, _) = listeners[connection.engine].accept().await.expect("the connection");
-        // Read the whole command: a close with unread bytes would be a reset, which the next write reports.
+        // Reads the whole command: a close with unread bytes would be a reset, which the next write reports.
         let mut received = Vec::new();
         while resp::read_array(&received, usize::MAX).expect("a command").is_none() {
             assert!(peer.read_buf(&mut received).await.expect("read") > 0);
         }
         peer.write_all(SERVED).await.expect("written");
         assert!(matches!(first.wait().await, Response::Served(_)));
-        // Submits requests until one is on that connection, because the policy selects engines at random.
+        // Submits requests until the first connection carries one, because the policy selects engines at
+        // random.
         let mut handles = Vec::new();
         let mut closing = Some(peer);
         for id in 2..200 {
-            // On loopback the close has arrived when `drop` returns, and no task of this process has run
-            // since.
+            // On loopback the close has arrived when `drop` returns. No task of this process runs between
+            // `drop` and `submit`.
             drop(closing.take());
             handles.push(core.submit(request(&core, id)).expect("accepted"));
             if connection_of(&core, id).is_some_and(|other| Rc::ptr_eq(&other, &connection)) {
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The next attempt is sent right after the cancellation, on another connection, and may overtake it. Two
-/// attempts of one request would then run concurrently.
+/// If an attempt ended as soon as it was cancelled, the next attempt would be sent at once on another
+/// connection, could overtake the cancellation, and would run concurrently with the cancelled attempt.
 #[test]
 fn cancelled_attempt_stays_in_flight_until_its_cancellation_has_arrived() {
     run_local(async {
@@ -53,8 +53,8 @@
     });
 }
 
-/// Two attempts must not run concurrently if this process is slow: the cancellation waits for its connection,
-/// so the next attempt waits for the cancellation.
+/// A cancellation may wait for its connection for a long time. The next attempt must wait until the
+/// cancellation was sent, or two attempts of one request would run concurrently.
 #[test]
 fn cancellation_that_was_not_sent_has_not_arrived() {
     run_local(async {
@@ -90,7 +90,7 @@
     });
 }
 
-/// Engines may appear under new ids without end, and every decision visits all indices: memory and time per
+/// New engine ids may keep appearing indefinitely, and every decision visits all indices: memory and time per
 /// request must stay bounded.
 #[test]
 fn indices_of_gone_engines_are_reused() {
@@ -152,8 +152,8 @@
     });
 }
 
-/// Nothing may be sent to a draining engine. An attempt that waits for its connection never ran, so it is
-/// retried.
+/// Nothing may be sent to a draining engine. An attempt that waits for its connection never ran, so its
+/// request is retried at another engine.
 #[test]
 fn unsent_attempt_is_sent_elsewhere_when_its_engine_drains() {
     run_local(async {
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -83,8 +83,8 @@
         most_used.map(Rc::clone)
     }
 
-    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `may_add_connection`:
-    /// whether the connections to all engines are below their limit.
+    /// Adds a connection that the caller has to dial. `engine`: the index of this engine.
+    /// `may_add_connection`: whether the connections to all engines are below their limit.
     ///
     /// # Errors
     /// The outcome of the attempt, if no connection is available for it.
