--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -1,4 +1,5 @@
-//! The client of the control feed: one HTTP/1.1 poll at a time, which continues after the last event applied.
+//! The client of the control feed: one HTTP/1.1 poll at a time, each of which continues after the last event
+//! that was applied or skipped.
 //!
 //! Input: the address of the feed, and the events of its responses. Output: endpoint lists, applied to the
 //! [`Core`]. State: none; [`super::endpoint_watch`] decides when to poll and when a poll times out.
@@ -24,8 +25,8 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, warn};
 
-/// Size of the read buffer of a poll in bytes, which also limits the head of a response. It is the smallest
-/// size that the library accepts.
+/// Size of the read buffer of a poll in bytes, which also limits the head of a response: the smallest size
+/// that hyper accepts.
 const READ_AHEAD_BYTES: usize = 8192;
 
 /// Why a poll ended before its response was complete.
@@ -47,9 +48,9 @@
     Event(#[source] events::EventError),
 }
 
-/// Watches the endpoint list without end, one poll at a time. If the address of the feed changes, the new
-/// address is polled at once and the poll of the old address is dropped. A start-up `schedule` sets the times
-/// of polls and their backoffs.
+/// Watches the endpoint list until the process ends, one poll at a time. If the address of the feed changes,
+/// the new address is polled at once and the poll of the old address is dropped; without an address nothing
+/// is polled. `schedule` sets the times of polls and their backoffs, if start-up control is on.
 pub async fn follow(
     core: Rc<Core>,
     mut address: watch::Receiver<Option<String>>,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Runs a step of a poll with the timeout that the watch sets.
+/// Runs a step of a poll with the timeout of the watch's current phase.
 async fn within<T, E: Into<PollError>>(
     watch: &EndpointWatch,
     step: impl Future<Output = Result<T, E>>,
@@ -143,7 +144,7 @@
                 apply(core, &event, watch)?;
             }
             let Err(error) = result else { break };
-            // An event that never ends would otherwise stop every poll.
+            // An event that exceeds the decoder's limits would otherwise end every poll.
             let event = decoder.id();
             let is_new = event.is_none_or(|number| number > core.last_event());
             if is_new && watch.should_retry_event(event) {
@@ -156,8 +157,8 @@
     Ok(())
 }
 
-/// Applies one event; returns an error if the next poll has to request the event again. The number of the
-/// event, from which the next poll continues, overrides the one in its data.
+/// Applies one event; returns an error if the next poll has to request the event again. The event's id, after
+/// which the next poll continues, overrides the number in its data.
 fn apply(core: &Rc<Core>, event: &sse::ServerSentEvent, watch: &mut EndpointWatch) -> Result<(), PollError> {
     let last_event = core.last_event();
     match events::parse(&event.data) {
@@ -169,7 +170,7 @@
         // The event was already applied, so a damaged copy loses nothing.
         Err(_) if event.id.is_some_and(|number| number <= last_event) => {}
         Err(error) if watch.should_retry_event(event.id) => return Err(PollError::Event(error)),
-        // An unreadable event would otherwise stop every poll.
+        // An unreadable event would otherwise end every poll.
         Err(error) => skip(core, event.id, &error),
     }
     if core.last_event() != last_event {
--- a/src/core/endpoint_list.rs
+++ b/src/core/endpoint_list.rs
@@ -3,8 +3,7 @@
 use crate::proto::events::{Endpoint, EndpointPhase, ListEvent};
 use std::collections::BTreeMap;
 
-/// Keeps one entry of each engine that a list names more than once: the last entry with the most severe
-/// phase.
+/// Keeps one entry for each engine: of several entries with the most severe phase that occurs, the last.
 pub(super) fn resolve_duplicates(list: &mut ListEvent) {
     let mut max_severity: BTreeMap<String, u8> = BTreeMap::new();
     for member in &list.members {
@@ -20,7 +19,7 @@
     list.members = members;
 }
 
-/// The severity of an entry's phase: the higher the severity, the fewer attempts the engine may get.
+/// The severity of an entry's phase: from ready to gone, the engine may get fewer attempts.
 fn severity_of(member: &Endpoint) -> u8 {
     match member.phase {
         EndpointPhase::Ready => 0,
--- a/src/core/endpoint_watch.rs
+++ b/src/core/endpoint_watch.rs
@@ -1,32 +1,32 @@
 //! The state machine of the endpoint watch: when the control feed is polled, when a poll times out, and which
-//! events are requested again. The `endpoint_client` module drives it. It reads no clock and draws no random
-//! numbers.
+//! events are requested again. The `endpoint_client` module drives the state machine, which reads no clock
+//! and draws no random numbers.
 //!
 //! Input: the progress of a poll, with the current time from the caller. Output: the time left until the next
-//! step, and whether an unreadable event is requested again. State: the phase of the poll, each with a
-//! timeout, and the backoff.
+//! step, and whether an unreadable event is requested again. State: the phase of the poll with its timeout,
+//! the backoff, and the counts of unreadable events.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use sprucelink_startup::endpoint_poller::{EndpointPoller, PollOutcome};
 
 /// Shortest backoff between two polls. The events of the feed count as delivered even while no poll is open,
-/// and a drain must be obeyed within 500 ms, so the backoffs have to stay well below that.
+/// and a drain must be obeyed within 500 ms, so backoffs have to stay well below 500 ms.
 pub const MIN_BACKOFF: TimeDelta = TimeDelta::from_millis(20);
-/// Longest backoff between two polls.
+/// Longest backoff between two polls without a start-up schedule, also bounded by the 500 ms for a drain.
 pub const MAX_BACKOFF: TimeDelta = TimeDelta::from_millis(250);
 /// Time without a byte after which a response times out. The feed sends one comment per second.
 pub const IDLE_TIMEOUT: TimeDelta = TimeDelta::from_millis(2_500);
-/// Time between two complete events or comments after which a response times out; otherwise single bytes
-/// could keep it open without end. Longer than [`IDLE_TIMEOUT`], because a long list may arrive in several
-/// parts.
+/// Time without a complete event or comment after which a response times out; otherwise a feed that sends
+/// single bytes could keep the response open indefinitely. Longer than [`IDLE_TIMEOUT`], because a long list
+/// may arrive in several parts.
 pub const EVENT_TIMEOUT: TimeDelta = TimeDelta::from_secs(4);
-/// Timeout of the head of a response, if the previous poll was answered. After an unanswered poll it is
-/// [`IDLE_TIMEOUT`], so that a slow feed can still answer.
+/// Time to wait for the head of a response, if the previous poll was answered. After an unanswered poll the
+/// timeout is [`IDLE_TIMEOUT`], so that a slow feed can still answer.
 pub const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_millis(1_500);
-/// Timeout of a dial of the feed.
+/// Time after which a dial of the feed's address fails.
 pub const DIAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(500);
-/// Number of times that an unreadable event is requested again before it is skipped. If it was damaged in
-/// transit, a further copy may be intact.
+/// Number of times that an unreadable event is requested again before it is skipped. If the event was damaged
+/// in transit, a further copy may be intact.
 pub const MAX_EVENT_RETRIES: u32 = 3;
 
 /// HTTP status of a response with events (RFC 9110, 15.3.1).
@@ -36,7 +36,7 @@
 /// HTTP status "service unavailable" (RFC 9110, 15.6.4).
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// The phase of the poll.
+/// The phase of the watch: between two polls, or a step of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Between two polls.
@@ -74,24 +74,26 @@
     pub was_rejected: bool,
 }
 
-/// The state of the endpoint watch. A start-up schedule, if there is one, sets the time of the first poll and
-/// the backoffs.
+/// The state machine of the endpoint watch. A start-up schedule, if there is one, sets the time of the first
+/// poll and the backoffs.
 #[derive(Clone, Debug)]
 pub struct EndpointWatch {
     phase: Phase,
     schedule: Option<EndpointPoller>,
+    /// Backoff after the last poll without a schedule; [`MIN_BACKOFF`] also if the last poll was answered.
     backoff: TimeDelta,
+    /// Whether the feed rejected the current or last poll.
     was_rejected: bool,
-    /// Number of the last unreadable event; 0 if there was none.
+    /// Number of the last unreadable event that had one; 0 if there was none.
     unreadable_event: u64,
-    /// Number of times that the last unreadable event was unreadable.
+    /// Number of copies of that event that were unreadable.
     unreadable_count: u32,
     /// Number of unreadable events without a number since the last event that was applied.
     unnumbered_unreadable_count: u32,
 }
 
 impl EndpointWatch {
-    /// Creates a watch that starts at `now`.
+    /// Creates a watch that starts at `now`. Without a schedule, the first poll begins at once.
     pub fn new(schedule: Option<EndpointPoller>, now: Timestamp) -> EndpointWatch {
         let until = schedule.as_ref().and_then(EndpointPoller::next_poll_at).unwrap_or(now);
         EndpointWatch {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The time until the phase ends if nothing happens: the backoff is then over, or the poll has timed out.
+    /// The time until the phase ends if nothing happens: then the backoff is over, or the poll times out.
     /// Never negative, and never longer than the timeout of the phase, even if the clock is set back.
     pub fn time_left(&self, now: Timestamp) -> TimeDelta {
         let (until, bound) = match self.phase {
@@ -122,7 +124,7 @@
         (until - now).min(bound).max(TimeDelta::ZERO)
     }
 
-    /// The reason to log when the phase times out.
+    /// The reason to log if the current phase times out.
     pub fn timeout_reason(&self) -> &'static str {
         match self.phase {
             Phase::BackingOff { .. } | Phase::Dialing { .. } => "no connection in time",
@@ -144,10 +146,11 @@
         self.phase = Phase::AwaitingResponse { since: now };
     }
 
-    /// Records that the head of a response arrived, with this status.
+    /// Records that the head of a response with HTTP status `status` arrived. Statuses 429 and 503 count as a
+    /// rejection of the poll.
     ///
     /// # Errors
-    /// If the status is not 200, the only status with events: the poll is over. 429 and 503 reject the poll.
+    /// If the status is not 200, the only status with events: the poll is over.
     pub fn on_response(&mut self, status: u16, now: Timestamp) -> Result<(), UnexpectedStatus> {
         self.was_rejected = matches!(status, STATUS_TOO_MANY_REQUESTS | STATUS_UNAVAILABLE);
         if status != STATUS_OK {
@@ -157,7 +160,8 @@
         Ok(())
     }
 
-    /// Records that bytes of a response arrived. `completes_event`: they complete an event or a comment.
+    /// Records that bytes of a response arrived. `completes_event`: whether an event or a comment became
+    /// complete.
     pub fn on_bytes(&mut self, completes_event: bool, now: Timestamp) {
         if let Phase::Reading { last_byte_at, last_event_at } = &mut self.phase {
             *last_byte_at = now;
@@ -168,7 +172,7 @@
     }
 
     /// Records that an event was unreadable. Returns whether the poll ends and the event is requested again;
-    /// otherwise the event is skipped. Events without a number share a separate counter: two unreadable
+    /// otherwise the event must be skipped. Events without a number share a separate counter: two unreadable
     /// events in one response must not reset each other's count.
     pub fn should_retry_event(&mut self, event: Option<u64>) -> bool {
         let count = match event {
@@ -185,7 +189,7 @@
         *count <= MAX_EVENT_RETRIES
     }
 
-    /// Records that a new event was applied.
+    /// Records that a new event was applied, which resets the count of unreadable events without a number.
     pub fn on_event_applied(&mut self) {
         self.unnumbered_unreadable_count = 0;
     }
@@ -224,7 +228,7 @@
     }
 }
 
-/// The HTTP status of a response without events.
+/// The status of a response without events: any HTTP status except 200.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field status is not 200: {0}")]
 pub struct UnexpectedStatus(pub u16);
--- a/src/core/endpoint_watch/tests.rs
+++ b/src/core/endpoint_watch/tests.rs
@@ -5,18 +5,19 @@
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestCaseError, TestRunner};
 use sprucelink_startup::endpoint_poller::EndpointPollerConfig;
 
-/// The behaviour of a feed in one poll. Delays are in microseconds after the previous step.
+/// The behaviour of a feed in one poll. All delays are in microseconds after the previous step.
 #[derive(Clone, Debug)]
 struct FeedBehavior {
     dial_delay: i64,
     /// Delay of the head of the response, and the HTTP status.
     response: (i64, u16),
+    /// Delay of each event.
     event_gaps: Vec<i64>,
     /// Number of steps after which the feed's address changes; `None` if it does not change.
     address_changes_after: Option<usize>,
 }
 
-/// Spans shorter and longer than a bound, in microseconds.
+/// Generates spans in microseconds: mostly well below `bound`, some close to it, and some far above it.
 fn around(bound: TimeDelta) -> impl Strategy<Value = i64> {
     let micros = bound.as_micros();
     prop_oneof![4 => 0..micros / 10, 1 => micros - 2..micros + 2, 1 => Just(i64::MAX / 4)]
@@ -37,8 +38,8 @@
     )
 }
 
-/// Advances the time by `span`, or to the timeout of the phase if that is earlier; returns `false` for a
-/// timeout.
+/// Advances the time by `span` microseconds, or to the timeout of the phase if the timeout is earlier;
+/// returns false for a timeout.
 fn step(watch: &EndpointWatch, now: &mut Timestamp, span: i64) -> bool {
     let time_left = watch.time_left(*now);
     let is_in_time = TimeDelta::from_micros(span) <= time_left;
@@ -46,10 +47,11 @@
     is_in_time
 }
 
-/// The end of a poll: the status of the response, if there was one.
+/// The end of a poll.
 #[derive(Debug, PartialEq)]
 enum PollEnd {
     AddressChanged,
+    /// The poll ended with a response of this status; `None` if there was no response.
     Completed(Option<u16>),
 }
 
@@ -108,8 +110,8 @@
     result.expect("the property holds");
 }
 
-/// Simulates one poll for each feed behaviour, with or without a start-up schedule, and checks the backoff
-/// after each.
+/// Simulates one poll for each feed behaviour, with or without a start-up schedule, and checks the duration
+/// of each poll and the backoff after it.
 fn check_polls(feeds: &[FeedBehavior], scheduled: bool, seed: u64) -> Result<(), TestCaseError> {
     let mut now = Timestamp::from_secs(1_000_000);
     let schedule = scheduled.then(|| EndpointPoller::new(EndpointPollerConfig::default(), 300, seed, now));
@@ -160,8 +162,8 @@
     Ok(())
 }
 
-/// A feed that often ends its responses without an event must be polled again well before a drain has to be
-/// obeyed.
+/// A feed may often end its responses without an event. It must be polled again well before a drain that it
+/// announces meanwhile has to be obeyed.
 #[test]
 fn backoff_grows_only_while_polls_are_not_answered() {
     let mut now = Timestamp::ZERO;
@@ -172,9 +174,9 @@
             watch.on_connected(now);
             let _ = watch.on_response(status, now);
         }
-        let expected_backoff = watch.on_poll_ended(now).delay;
-        now = now + expected_backoff;
-        expected_backoff.as_millis()
+        let backoff = watch.on_poll_ended(now).delay;
+        now = now + backoff;
+        backoff.as_millis()
     };
     assert!((0..20).all(|_| poll(Some(200)) == 20));
     let backoffs: Vec<i64> = (0..6).map(|i| poll([None, Some(500), Some(503)][i % 3])).collect();
@@ -203,8 +205,8 @@
     EventsMissing,
 }
 
-/// The time from the last event of a silent feed until the next answered poll starts, if these polls fail
-/// before it.
+/// The time from the last event of a feed that became silent until the next poll that is answered starts, if
+/// the polls in `failed_polls` come first.
 fn time_until_answered(failed_polls: &[FailedPoll]) -> TimeDelta {
     let mut now = Timestamp::ZERO;
     let mut watch = EndpointWatch::new(None, now);
@@ -232,8 +234,8 @@
     now - Timestamp::ZERO
 }
 
-/// An event of the feed counts as delivered after 7 s, even if it did not arrive: the next poll has to start
-/// before that, even after failed polls.
+/// An event of the feed counts as delivered after 7 s, even if it did not arrive. The next poll has to start
+/// within these 7 s, even after failed polls.
 #[test]
 fn silent_feed_is_polled_again_before_its_events_count_as_delivered() {
     use FailedPoll::{ConnectionFailed, EventsMissing, ResponseMissing};
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -5,8 +5,8 @@
 //! commands, and the requests whose attempts ended unserved on the connection.
 //!
 //! A connection carries many attempts. It belongs to an engine's id and not to its address, because addresses
-//! are reused. When it breaks, each attempt on it ends once. The `connection_task` module dials and serves
-//! it.
+//! are reused. When a connection breaks, each attempt on it ends once. The `connection_task` module dials and
+//! serves connections.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use super::clock::now;
@@ -23,24 +23,25 @@
 pub(super) use send_queue::{QueuedBuffer, UnsentCommand};
 
 /// Fraction of the engines' idle timeout after which this process closes an idle connection. Engines close an
-/// idle connection at the full timeout, and an attempt that crosses their close would count as one that may
-/// have run.
+/// idle connection at the full timeout, and an attempt that is sent while the close is on its way would count
+/// as one that may have run.
 const IDLE_FRACTION: f64 = 0.8;
-/// Limit on consecutive missing progress notes: beyond it, the connection accepts no further attempts. The
-/// limit applies to one connection; the policy has shorter limits of its own for engines and zones that do
-/// not answer (`outlier_detection`, `engine_health`).
+/// Number of progress notes that may be missing in a row before the connection accepts no further attempts.
+/// The limit applies to one connection; the policy has shorter limits of its own for engines and zones that
+/// do not answer (`outlier_detection`, `engine_health`).
 const MAX_MISSED_NOTES: i64 = 3;
-/// Number of attempts ended unserved on one connection at which the connection is retired.
+/// Number of requests with an attempt that ended unserved on one connection at which the connection is
+/// retired, which bounds the memory for their ids.
 const MAX_UNSERVED: usize = 512;
 
-/// Limits and timeouts of connections to engines.
+/// Limits and timeouts of connections to engines, from the program's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     /// Limit on the attempts on one connection at a time.
     pub max_streams: usize,
     /// Time after which a dial fails.
     pub dial_timeout: TimeDelta,
-    /// Time after which an engine closes an idle connection.
+    /// Time after which an engine closes an idle connection; this process closes it earlier.
     pub idle_timeout: TimeDelta,
     /// Time between two progress notes on an attempt; zero if engines send none.
     pub note_interval: TimeDelta,
@@ -74,7 +75,7 @@
 pub enum Withdrawal {
     /// No byte of the attempt's command was sent, and none will be.
     Complete,
-    /// A part of the command was sent: only closing the connection stops the rest.
+    /// A part of the command was sent: the rest can only be stopped by closing the connection.
     Partial,
     /// The whole command was sent, or the attempt is not on the connection.
     TooLate,
@@ -103,7 +104,8 @@
     send_queue: RefCell<SendQueue>,
     /// Attempts by request id.
     attempts: RefCell<BTreeMap<u64, CarriedAttempt>>,
-    /// Requests whose attempt ended unserved on this connection: the engine may still answer.
+    /// Ids of the requests with an attempt that ended unserved on this connection: the engine may still
+    /// answer that attempt.
     unserved: RefCell<BTreeSet<u64>>,
     /// Time at which the engine last sent bytes or the last attempt ended, whichever is later.
     last_active_at: Cell<Timestamp>,
@@ -140,8 +142,8 @@
             && !self.has_ended_unserved(id)
     }
 
-    /// Whether progress notes on an attempt are missing: the connection of a machine that has failed stays
-    /// open and silent.
+    /// Whether more progress notes on an attempt are missing than [`MAX_MISSED_NOTES`]: the connection to a
+    /// machine that has failed stays open and silent.
     fn is_unresponsive(&self, limits: &ConnectionLimits) -> bool {
         let max_silence = TimeDelta::from_micros(limits.note_interval.as_micros() * MAX_MISSED_NOTES);
         let is_overdue =
@@ -174,7 +176,7 @@
         self.state.set(State::Up);
     }
 
-    /// Records that the engine sent bytes.
+    /// Records that the engine sent bytes, which restarts the idle time.
     pub(super) fn record_activity(&self, now: Timestamp) {
         self.last_active_at.set(now);
     }
@@ -184,7 +186,7 @@
         self.wake.notified().await;
     }
 
-    /// Whether this process has closed the connection.
+    /// Whether [`EngineConnection::close`] was called.
     pub(super) fn is_closed(&self) -> bool {
         self.state.get() == State::Closed
     }
@@ -194,7 +196,7 @@
         self.state.get() == State::Dialing
     }
 
-    /// The number of attempts on the connection.
+    /// The number of attempts on the connection, queued or sent.
     pub fn attempt_count(&self) -> usize {
         self.attempts.borrow().len()
     }
@@ -209,9 +211,9 @@
         self.attempts.borrow().get(&id).map(|carried| carried.attempt)
     }
 
-    /// Queues a command on an attempt, unless the connection is closed. The command takes a buffer even
-    /// beyond the limit of the pool: without its cancellation, an attempt would run concurrently with the
-    /// next one.
+    /// Queues a command that concerns an attempt (such as a cancellation), unless the connection is closed.
+    /// The command may take a buffer beyond the limit of the pool: without its cancellation, an attempt would
+    /// run concurrently with the request's next attempt.
     pub fn command(&self, pool: &BufferPool, parts: &[&[u8]]) {
         if !self.is_closed() {
             self.queue_command(parts, || Some(pool.get_beyond_limit()));
@@ -239,9 +241,10 @@
         true
     }
 
-    /// Replaces the command of an attempt by a new command behind all others; returns false if the connection
-    /// is closed or a byte of the old command was sent. The new command takes a buffer even beyond the limit
-    /// of the pool, because the buffer of the old command is released once the old command is skipped.
+    /// Replaces the command of an attempt by a new command at the end of the queue; returns false if the
+    /// connection is closed or a byte of the old command was sent. The new command may take a buffer beyond
+    /// the limit of the pool, because the buffer of the old command is released once the old command is
+    /// skipped.
     pub fn requeue(&self, pool: &BufferPool, id: u64, attempt: u32, parts: &[&[u8]]) -> bool {
         if self.is_closed() || self.withdraw(id) != Withdrawal::Complete {
             return false;
@@ -268,12 +271,12 @@
         self.send_queue.borrow().written_end()
     }
 
-    /// Whether the stream was sent or skipped up to an offset, or the connection is closed.
+    /// Whether the stream was sent or skipped up to an offset in bytes, or the connection is closed.
     pub fn has_passed(&self, offset: u64) -> bool {
         self.written_end() >= offset || self.is_closed()
     }
 
-    /// Whether the command that sends a request's attempt is not yet sent completely.
+    /// Whether the command that sends a request's attempt is neither sent completely nor withdrawn.
     pub fn is_unsent(&self, id: u64) -> bool {
         let written = self.written_end();
         let attempts = self.attempts.borrow();
@@ -281,13 +284,14 @@
             && attempts.get(&id).is_some_and(|attempt| !attempt.is_withdrawn && attempt.end > written)
     }
 
-    /// The ids of the requests whose attempts are not yet sent completely.
+    /// The ids of the requests whose attempts are neither sent completely nor withdrawn.
     pub fn unsent_ids(&self) -> Vec<u64> {
         self.send_queue.borrow().unsent_ids()
     }
 
-    /// Withdraws the command that sends a request's attempt, if no byte of it was sent: its bytes are
-    /// skipped. Otherwise a connection that opens late would send requests that have their final response.
+    /// Withdraws the command that sends a request's attempt, if no byte of the command was sent; its bytes
+    /// are then skipped. Without withdrawal, a connection that opens late would send requests that already
+    /// have their final response.
     pub fn withdraw(&self, id: u64) -> Withdrawal {
         if self.attempts.borrow().get(&id).is_some_and(|attempt| attempt.is_withdrawn) {
             return Withdrawal::Complete;
@@ -305,14 +309,14 @@
         Withdrawal::Complete
     }
 
-    /// Removes an attempt that has ended. `is_unserved`: the engine may still answer the attempt, or answer
-    /// it again as a duplicate.
+    /// Removes an attempt that has ended. `is_unserved`: whether it ended without a result, so that the
+    /// engine may still answer it.
     pub fn release(&self, id: u64, is_unserved: bool) {
         let was_carried = self.attempts.borrow_mut().remove(&id).is_some();
         if was_carried && is_unserved {
             let mut unserved = self.unserved.borrow_mut();
             unserved.insert(id);
-            // Bounds the set: a new connection replaces this one.
+            // Retiring the connection bounds the set: a new connection replaces this one.
             if unserved.len() >= MAX_UNSERVED {
                 self.is_retired.set(true);
             }
@@ -327,7 +331,8 @@
         self.unserved.borrow().contains(&id)
     }
 
-    /// Closes the connection; returns the attempts that were on it.
+    /// Marks the connection as closed, drops its unsent commands and wakes its task, which then ends. Returns
+    /// the attempts that were on the connection.
     pub fn close(&self) -> Vec<InterruptedAttempt> {
         self.state.set(State::Closed);
         self.send_queue.borrow_mut().clear();
@@ -355,28 +360,30 @@
         self.attempts.borrow().values().all(|attempt| attempt.is_withdrawn || attempt.start >= written)
     }
 
-    /// The next buffer to be sent.
+    /// Takes the next buffer to be sent off the queue; `None` if the queue is empty.
     pub(super) fn next_buffer(&self) -> Option<QueuedBuffer> {
         self.send_queue.borrow_mut().pop_buffer()
     }
 
-    /// The first attempt whose command begins between two offsets.
+    /// The first unsent attempt whose command begins at offset `from` or later and before offset `to`.
     pub(super) fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
         self.send_queue.borrow().next_attempt(from, to)
     }
 
-    /// Skips withdrawn bytes at the head of the stream; returns the offset up to which bytes may be written,
-    /// if there is a limit.
+    /// Skips withdrawn bytes at the head of the stream; returns the offset at which the next withdrawn part
+    /// begins, up to which bytes may be written, or `None` if nothing else is withdrawn.
     pub(super) fn skip_withdrawn(&self) -> Option<u64> {
         self.send_queue.borrow_mut().skip_withdrawn()
     }
 
-    /// Advances the written offset by `bytes`; returns the number of attempts that this completes.
+    /// Records that the next `bytes` bytes of the stream were sent; returns the number of attempts whose
+    /// commands are now sent completely.
     pub(super) fn record_written(&self, bytes: usize) -> u64 {
         self.send_queue.borrow_mut().record_written(bytes)
     }
 
-    /// Whether the connection has no attempt and is retired or has been inactive for too long.
+    /// Whether the connection has no attempt, and is retired or has been inactive for longer than
+    /// [`IDLE_FRACTION`] of the idle timeout.
     pub(super) fn is_idle(&self, limits: &ConnectionLimits) -> bool {
         let max_idle =
             TimeDelta::from_micros((limits.idle_timeout.as_micros() as f64 * IDLE_FRACTION) as i64);
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -1,14 +1,14 @@
 //! The send queue of a connection.
 //!
 //! Input: commands, and the parts of the stream that are withdrawn. Output: buffers to write. State: the
-//! buffers not yet written and the commands that send attempts. Offsets count the bytes of the stream since
-//! the connection was made.
+//! buffers that are not yet taken for writing, the commands that send attempts and are not sent completely,
+//! and the withdrawn parts. Offsets count the bytes of the stream since the connection was made.
 
 use crate::core::buffer_pool::Buffer;
 use crate::proto::resp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Limit on the framing of a command, and on the framing of each of its parts, in bytes.
+/// Upper bound of the framing of a command, and of the framing of each of its parts, in bytes.
 const FRAMING_BYTES: usize = 16;
 
 /// A command that sends an attempt and was not sent completely.
@@ -38,18 +38,18 @@
         self.start + self.bytes.len() as u64
     }
 
-    /// The buffer's bytes from offset `from`, up to offset `limit` if there is one.
+    /// The buffer's bytes from offset `from` of the stream, up to offset `limit` if there is one.
     pub(in crate::core) fn slice(&self, from: u64, limit: Option<u64>) -> &[u8] {
         let to = limit.map_or(self.end(), |limit| limit.min(self.end()));
         &self.bytes[(from - self.start) as usize..(to - self.start) as usize]
     }
 }
 
-/// The send queue of a connection.
+/// The bytes that a connection has to send, and which of them belong to attempts.
 #[derive(Debug, Default)]
 pub(super) struct SendQueue {
     buffers: VecDeque<Buffer>,
-    /// Offset of the end of the queued commands.
+    /// Offset at which the last queued command ends.
     queued_end: u64,
     /// Offset up to which the stream was sent or skipped.
     written_end: u64,
@@ -83,7 +83,7 @@
         self.unsent.push_back(command);
     }
 
-    /// Offset of the end of the queued commands.
+    /// Offset at which the last queued command ends.
     pub(super) fn queued_end(&self) -> u64 {
         self.queued_end
     }
@@ -98,12 +98,12 @@
         self.unsent.iter().map(|command| command.id).collect()
     }
 
-    /// The first attempt whose command begins between two offsets.
+    /// The first unsent attempt whose command begins at offset `from` or later and before offset `to`.
     pub(super) fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
         self.unsent.iter().find(|command| command.start >= from && command.start < to).copied()
     }
 
-    /// Takes the next buffer off the queue.
+    /// Takes the oldest buffer off the queue; `None` if the queue is empty.
     pub(super) fn pop_buffer(&mut self) -> Option<QueuedBuffer> {
         let bytes = self.buffers.pop_front()?;
         let buffer = QueuedBuffer { bytes, start: self.taken };
@@ -111,14 +111,14 @@
         Some(buffer)
     }
 
-    /// Withdraws a command of which no byte was sent.
+    /// Withdraws the command between two offsets, of which no byte was sent.
     pub(super) fn withdraw(&mut self, start: u64, end: u64) {
         self.withdrawn.insert(start, end);
         self.unsent.retain(|command| command.end != end);
     }
 
-    /// Skips withdrawn bytes at the head of the stream; returns the start of the next withdrawn part, if
-    /// there is one.
+    /// Skips withdrawn bytes at the head of the stream; returns the offset at which the next withdrawn part
+    /// begins, or `None` if nothing else is withdrawn.
     pub(super) fn skip_withdrawn(&mut self) -> Option<u64> {
         while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written_end) {
             self.written_end = self.written_end.max(part.remove());
@@ -126,7 +126,8 @@
         self.withdrawn.first_key_value().map(|(start, _)| *start)
     }
 
-    /// Advances the written offset by `bytes`; returns the number of attempts that this completes.
+    /// Records that the next `bytes` bytes of the stream were sent; returns the number of attempts whose
+    /// commands are now sent completely.
     pub(super) fn record_written(&mut self, bytes: usize) -> u64 {
         self.written_end += bytes as u64;
         let mut sent = 0;
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -32,7 +32,7 @@
     });
 }
 
-/// The connection of a machine that has failed stays open and accepts all bytes.
+/// The connection to a machine that has failed stays open and accepts bytes, but no progress notes arrive.
 #[test]
 fn connection_with_missing_progress_notes_accepts_no_attempts() {
     run_local(async {
@@ -65,8 +65,8 @@
     assert_eq!(connection.close(), [interrupted], "the attempt was not sent, so it never ran");
 }
 
-/// The ids of the requests that a peer receives, up to `last`. Checks that each has a statement of
-/// `statement_bytes`.
+/// The ids of the requests that a peer receives, up to the id `last`. Checks that each request has a
+/// statement of `statement_bytes` bytes.
 async fn received_ids(peer: &mut TcpStream, last: u64, statement_bytes: usize) -> Vec<u64> {
     let mut received = Vec::new();
     let mut ids = Vec::new();
@@ -83,8 +83,8 @@
     ids
 }
 
-/// Withdrawn commands are skipped, whether they wait for the connection or for a slow peer; all others arrive
-/// completely and in order. A command that was sent in part cannot be withdrawn.
+/// Withdrawn commands are skipped, whether they wait for the connection or for a slow peer; all other
+/// commands arrive completely and in order. A command that was sent in part cannot be withdrawn.
 #[test]
 fn withdrawn_commands_are_skipped_and_all_others_arrive() {
     run_local(async {
@@ -127,7 +127,8 @@
     });
 }
 
-/// A connection may break in the middle of a command. An engine runs only complete commands.
+/// A connection may break in the middle of a command. An engine runs only complete commands, so the attempt
+/// never ran.
 #[test]
 fn attempt_that_was_sent_in_part_never_ran() {
     run_local(async {
--- a/src/core/engine_indices.rs
+++ b/src/core/engine_indices.rs
@@ -1,8 +1,8 @@
 //! The indices of engines.
 //!
 //! Input: the ids of engines, and the indices of gone engines. Output: an index for each engine, and the
-//! changes for the recorder. State: the indices in use and the freed ones. Engines may appear under new ids
-//! without end, and every decision of the policy visits all indices, so freed indices are reused.
+//! changes for the recorder. State: the indices in use and the freed indices. New engine ids may keep
+//! appearing indefinitely, and every decision of the policy visits all indices, so freed indices are reused.
 
 use std::collections::BTreeMap;
 
@@ -24,8 +24,9 @@
     free: Vec<u32>,
     /// The lowest index that was never assigned.
     next: u32,
+    /// Whether changes are kept for a recorder.
     is_recorded: bool,
-    /// Changes that were not yet taken for the recorder.
+    /// Changes since the last call of [`EngineIndices::take_changes`].
     changes: Vec<IndexChange>,
 }
 
@@ -56,7 +57,7 @@
         self.record_change(id, index, true);
     }
 
-    /// The engines and their indices.
+    /// The id and index of each engine that has an index, in the order of the ids.
     pub(super) fn entries(&self) -> Vec<(&str, u32)> {
         self.by_id.iter().map(|(id, index)| (id.as_str(), *index)).collect()
     }
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -41,20 +41,21 @@
     pub(super) last_answered_at: Option<Timestamp>,
     /// The engine's last entry in the list, before cordons are applied.
     pub(super) listed_entry: Option<Endpoint>,
-    /// Whether the engine is listed as ready and not cordoned, so that attempts may be sent to it.
+    /// Whether the engine is listed as ready and not cordoned, which attempts to it require.
     pub(super) is_ready: bool,
     /// Number of the last event that named the engine.
     pub(super) last_event: u64,
 }
 
 impl Engine {
-    /// Whether the list has the engine with a valid address and not as gone.
+    /// Whether the engine is in the list, with a valid address and a phase other than gone.
     pub(super) fn is_listed(&self) -> bool {
         self.address.is_some() && self.removed_at.is_none()
     }
 
-    /// Applies the engine's entry in the list, with cordons applied. Returns whether the engine has moved or
-    /// restarted; its connections are then retired, because they lead to another process.
+    /// Applies the engine's entry, in which a cordoned engine is draining. Returns whether the engine's
+    /// address or start time has changed. The connections of a moved, restarted or gone engine are retired,
+    /// because they may lead to another process.
     pub(super) fn apply(&mut self, entry: &Endpoint, now: Timestamp) -> bool {
         let address = entry.address.parse().ok();
         let has_moved = self.address != address || self.started_at_ms != entry.up_since_ms;
@@ -70,8 +71,8 @@
         has_moved
     }
 
-    /// A connection that accepts a request: the connection with the most attempts, so that the others become
-    /// idle.
+    /// A connection that accepts a request: an open connection rather than one that is being dialed, and of
+    /// these the one with the most attempts, so that the other connections become idle and are closed.
     pub(super) fn reusable_connection(
         &self,
         id: u64,
@@ -109,37 +110,38 @@
 /// All engines by index, and the position in the endpoint list.
 pub(super) struct EngineTable {
     engines: Vec<Engine>,
-    /// The number of the last event of the list.
+    /// The number of the last event of the list; 0 before the first event.
     last_event: u64,
     /// The highest revision of the list so far. It is kept after the engines of that list are removed.
     revision: u64,
     /// Time for which an engine is kept after its removal from the list. No request is pending for longer
-    /// than that.
+    /// than this time.
     retention: TimeDelta,
 }
 
 impl EngineTable {
-    /// Creates a table without engines.
+    /// Creates a table without engines. `retention`: time for which an engine is kept after its removal from
+    /// the list, at least the longest deadline of a request.
     pub(super) fn new(retention: TimeDelta) -> EngineTable {
         EngineTable { engines: Vec::new(), last_event: 0, revision: 0, retention }
     }
 
-    /// The number of indices, those of removed engines included.
+    /// The number of indices, including the indices of removed engines.
     pub(super) fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// An engine by index.
+    /// The engine at an index; `None` if the table has no such index.
     pub(super) fn get(&self, engine: usize) -> Option<&Engine> {
         self.engines.get(engine)
     }
 
-    /// An engine by index.
+    /// The engine at an index; `None` if the table has no such index.
     pub(super) fn get_mut(&mut self, engine: usize) -> Option<&mut Engine> {
         self.engines.get_mut(engine)
     }
 
-    /// An engine by index; adds it if there is none.
+    /// The engine at an index; adds an empty engine if the table has no such index.
     pub(super) fn get_or_insert(&mut self, engine: usize) -> &mut Engine {
         let len = self.engines.len().max(engine + 1);
         self.engines.resize_with(len, Engine::default);
@@ -151,7 +153,7 @@
         self.engines.iter()
     }
 
-    /// The last entry of an engine in the list.
+    /// The last entry of the engine with this id in the list, before cordons are applied.
     pub(super) fn listed_entry(&self, id: &str) -> Option<Endpoint> {
         self.engines.iter().find(|engine| engine.id == id)?.listed_entry.clone()
     }
@@ -161,12 +163,12 @@
         self.engines.iter().filter(|engine| engine.is_listed()).count()
     }
 
-    /// The number of connections to all engines.
+    /// The number of connections to all engines that are open or being dialed.
     pub(super) fn connection_count(&self) -> usize {
         self.engines.iter().map(|engine| engine.connections.len()).sum()
     }
 
-    /// The number of the last event of the list.
+    /// The number of the last event that was applied or skipped; 0 before the first event.
     pub(super) fn last_event(&self) -> u64 {
         self.last_event
     }
@@ -179,9 +181,10 @@
     /// The part of an event that is new; `None` if nothing is new. Records the event's number if it is higher
     /// than the last one.
     ///
-    /// An event with a lower number is new in two cases. If its revision is higher than all earlier
-    /// revisions, the feed has restarted its numbering, and every further event would be ignored because of
-    /// its number. If it arrives out of order, it applies to the known engines that no later event has named.
+    /// An event whose number is not higher is new in two cases. If its revision is higher than all earlier
+    /// revisions, the feed has restarted its numbering; without this rule, every further event would be
+    /// ignored because of its number. If the event arrives out of order, it applies to the known engines that
+    /// no later event has named.
     pub(super) fn accept_event(&mut self, list: &ListEvent) -> Option<ListEvent> {
         if list.n > self.last_event {
             self.last_event = list.n;
@@ -213,7 +216,8 @@
         self.last_event = list.n;
     }
 
-    /// Adds an entry with phase gone for each known engine that a complete list omits.
+    /// Adds an entry with phase gone for each known engine that a complete list omits; leaves other lists
+    /// unchanged.
     pub(super) fn add_omitted_as_gone(&self, list: &mut ListEvent) {
         if !list.complete {
             return;
@@ -232,7 +236,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Removes the engines whose retention has ended and that have no connection; returns their indices.
+    /// Removes the engines that have no connection and were removed from the list longer than the retention
+    /// time ago; returns their indices, which may be reused.
     pub(super) fn remove_expired(&mut self, now: Timestamp) -> Vec<usize> {
         let mut removed = Vec::new();
         for (index, engine) in self.engines.iter_mut().enumerate() {
--- a/src/core/fleet_state.rs
+++ b/src/core/fleet_state.rs
@@ -18,7 +18,8 @@
     managers: u32,
     /// The number of this manager's processes, among which its share of the fleet is divided.
     processes: u32,
-    /// Retries that the other managers leave to this one, over its own retry budget.
+    /// Retries that this manager may make in the retry budget's window beyond its own budget, because the
+    /// other managers have not used theirs.
     spare_retries: f64,
     /// The facts to gossip; `None` if gossip is off.
     gossip: Option<GossipFacts>,
@@ -27,18 +28,20 @@
 }
 
 impl FleetState {
-    /// Creates the fleet as configured, with one process of this manager, without gossip and failover.
+    /// Creates the state for the configured number of managers and spare retries, with one process of this
+    /// manager, and without gossip and failover.
     pub(super) fn new(managers: u32, spare_retries: f64) -> FleetState {
         FleetState { managers, processes: 1, spare_retries, gossip: None, zone_routing: None }
     }
 
-    /// Sets the number of managers, this one included, and the retries that the others leave to this one.
+    /// Sets the number of managers, this one included, and the number of retries that this manager may make
+    /// beyond its own retry budget.
     pub(super) fn set_managers(&mut self, managers: u32, spare_retries: f64) {
         self.managers = managers;
         self.spare_retries = spare_retries;
     }
 
-    /// Sets the number of this manager's processes; at least one.
+    /// Sets the number of this manager's processes; 0 counts as 1.
     pub(super) fn set_process_count(&mut self, processes: u32) {
         self.processes = processes.max(1);
     }
@@ -49,7 +52,7 @@
         self.managers.saturating_mul(self.processes)
     }
 
-    /// Retries that the other managers leave to this one, over its own retry budget.
+    /// Retries that this manager may make in the retry budget's window beyond its own budget.
     pub(super) fn spare_retries(&self) -> f64 {
         self.spare_retries
     }
@@ -59,14 +62,15 @@
         self.gossip = Some(GossipFacts::new(windows));
     }
 
-    /// Counts a request for gossip, if gossip is on.
+    /// Counts a request in the facts to gossip, if gossip is on.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if let Some(gossip) = &mut self.gossip {
             gossip.record_request(now);
         }
     }
 
-    /// Counts an attempt for gossip, if gossip is on. `engine`: the engine, if it is known.
+    /// Counts an attempt in the facts to gossip, if gossip is on. `engine`: the selected engine, if it is in
+    /// the engine table; `cost_ms`: the estimated work in milliseconds on one core.
     pub(super) fn record_attempt(
         &mut self,
         now: Timestamp,
@@ -80,8 +84,8 @@
         gossip.record_attempt(now, is_retry, id, started_at_ms, cost_ms);
     }
 
-    /// Counts for gossip, if it is on, a connection that opened or failed. `engine`: the engine, if it is
-    /// known.
+    /// Records in the facts to gossip, if gossip is on, that a connection to `engine` opened or, if not
+    /// `is_up`, could not be made. An unknown engine is ignored.
     pub(super) fn record_connection(&mut self, now: Timestamp, engine: Option<&Engine>, is_up: bool) {
         if let (Some(gossip), Some(engine)) = (&mut self.gossip, engine) {
             gossip.record_connection(now, &engine.id, is_up);
@@ -105,7 +109,7 @@
         self.zone_routing = Some(zone_routing);
     }
 
-    /// Replaces the observations of other managers; `observers` is called only if failover is on.
+    /// Replaces the other managers and their observations; `observers` is called only if failover is on.
     pub(super) fn set_observers(&mut self, observers: impl FnOnce() -> Vec<Observer>) {
         if let Some(zone_routing) = &mut self.zone_routing {
             zone_routing.set_observers(observers());
@@ -117,7 +121,7 @@
         self.zone_routing.as_ref().map(ZoneRouting::next_check)
     }
 
-    /// Evaluates the zones; returns their weights if they have changed.
+    /// Evaluates the zones; returns their weights by index if the weights have changed.
     pub(super) fn check_zones(&mut self, engines: &EngineTable, views: Vec<EngineView>) -> Option<Vec<f64>> {
         self.zone_routing.as_mut()?.check(engines, views)
     }
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -1,15 +1,16 @@
-//! The facts that this manager gossips to the others.
+//! The facts that this manager gossips to the other managers.
 //!
 //! Input: requests, attempts, and connections that opened or failed. Output: a [`GossipPayload`] with the
 //! recent requests and retries, the unreachable engines and the work sent to engines in slow start. State:
-//! these events within their windows. It only counts; `sprucelink_membership` decides when the payload is
-//! sent.
+//! these events within their windows. This module only counts; `sprucelink_membership` decides when the
+//! payload is sent.
 
 use sprucelink_membership::{engine_hash, GossipPayload, WarmupWork};
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Limit on the recorded events of one kind; the oldest are dropped first.
+/// Limit on the recorded requests, on the recorded retries and on the recorded attempts in slow start; the
+/// oldest are dropped first.
 const MAX_EVENTS: usize = 20_000;
 /// Time for which an engine counts as unreachable after a connection to it failed, unless a later connection
 /// opens.
@@ -37,13 +38,14 @@
     cost_ms: f64,
 }
 
-/// The recent events that are gossiped.
+/// The recent events from which the gossip payload is computed.
 pub(super) struct GossipFacts {
     windows: GossipWindows,
-    /// Requests, and retries when they are made, in the retry budget's window: from these counts the other
-    /// managers compute the retries that this manager leaves to them. They do not limit the retries that this
-    /// process sends; the policy and the send guard do.
+    /// Times of requests in the retry budget's window. From the numbers of requests and retries the other
+    /// managers compute which part of its retry budget this manager leaves to them. These numbers do not
+    /// limit the retries that this process sends; the policy and the send guard do.
     requests: VecDeque<Timestamp>,
+    /// Times of retries in the retry budget's window, each recorded when the retry is started.
     retries: VecDeque<Timestamp>,
     slow_start_attempts: VecDeque<SlowStartAttempt>,
     /// Engines to which the last connection failed, by the hash of their id, with the time of the failure.
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Counts a request.
+    /// Records a request that was submitted at `now`.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         push_bounded(&mut self.requests, now);
     }
 
-    /// Counts an attempt. `engine`: the engine's id; `started_at_ms`: the engine's start in Unix
+    /// Records an attempt. `engine`: the engine's id; `started_at_ms`: the engine's start in Unix
     /// milliseconds, 0 if unknown; `cost_ms`: the estimated work in milliseconds on one core.
     pub(super) fn record_attempt(
         &mut self,
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Records that a connection to an engine opened or failed.
+    /// Records that a connection to an engine opened or, if not `is_up`, could not be made. `engine`: the
+    /// engine's id.
     pub(super) fn record_connection(&mut self, now: Timestamp, engine: &str, is_up: bool) {
         if is_up {
             self.unreachable.remove(&engine_hash(engine));
@@ -112,8 +115,8 @@
         }
     }
 
-    /// The current payload. `unresponsive`: engines that do not answer, added to the engines to which no
-    /// connection could be made. The membership sets the version.
+    /// The current payload. `unresponsive`: hashes of the ids of engines that do not answer, which are added
+    /// to the engines to which no connection could be made. The membership sets the version.
     pub(super) fn payload(&mut self, now: Timestamp, unresponsive: Vec<u64>) -> GossipPayload {
         let admitted_requests = count_recent(&mut self.requests, now, self.windows.retry_budget);
         let retries = count_recent(&mut self.retries, now, self.windows.retry_budget);
@@ -127,8 +130,9 @@
         payload
     }
 
-    /// The work that was sent to each engine in slow start, in whole milliseconds. Other managers decode it,
-    /// but nothing uses it yet: the slow-start budget is divided evenly among the processes of all managers.
+    /// The work that was sent to each engine in slow start, in whole milliseconds. Other managers decode
+    /// these sums but do not use them: the slow-start budget is divided evenly among the processes of all
+    /// managers.
     fn slow_start_work(&mut self, now: Timestamp) -> Vec<WarmupWork> {
         let window = self.windows.slow_start_window;
         while self.slow_start_attempts.front().is_some_and(|attempt| now - attempt.sent_at > window) {
