--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -113,7 +113,7 @@
     pub(super) result: ResultSet,
     /// The cost of the query; `None` until the engine has reported it.
     pub(super) cost: Option<QueryCost>,
-    /// The load report in the engine's last answer to this attempt; all zero before.
+    /// The load report with which the engine rejected, failed or served the attempt; without values before.
     pub(super) load_report: LoadStats,
     /// Whether the first page of the result was received.
     pub(super) is_served: bool,
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -36,7 +36,8 @@
     latency: TimeDelta,
     /// The cost of the query; `None` if the engine has not reported it.
     cost: Option<QueryCost>,
-    /// The load report in the engine's last answer to this attempt; all zero if there was none.
+    /// The load report with which the engine rejected, failed or served the attempt; without values if the
+    /// engine sent none.
     load_report: LoadStats,
 }
 
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -4,9 +4,10 @@
 //! error in the log. State: the attempts whose first byte was sent, and the retry budget's window.
 //!
 //! The rules are enforced elsewhere: the send guard and the policy decide what is sent, the coordinator gives
-//! final responses, the fronts close sessions. The [`InvariantMonitor`] takes the inputs of each rule from
-//! there ([`RetryRule`], the limit of the retry budget), but compares them with records of its own, so that a
-//! fault in the enforcing code cannot hide itself. A violation changes no behaviour.
+//! final responses, the fronts close sessions. The [`InvariantMonitor`] uses the same parameters as the
+//! enforcing code ([`RetryRule`], the limit of the retry budget), but compares them with its own records, so
+//! that a fault in the enforcing code is detected. A violation is counted and logged, and changes no
+//! behaviour.
 
 use super::request::format_request_id;
 use sprucelink_metrics::{Counter, Metrics};
@@ -17,11 +18,13 @@
 
 /// Time by which the platform allows the deadline given to an engine to exceed the client's.
 const DEADLINE_SLACK: TimeDelta = TimeDelta::from_millis(150);
-/// Time that the platform's protocol allows in addition to the drain grace.
+/// Time after the drain grace within which the platform's protocol still allows an attempt to be sent to a
+/// draining engine.
 const DRAIN_SLACK: TimeDelta = TimeDelta::from_millis(50);
-/// Limit on the recorded events of one kind in the retry budget's window; the oldest are dropped first.
+/// Limit on the recorded requests, and on the recorded retries, in the retry budget's window; the oldest are
+/// dropped first.
 const MAX_WINDOW_EVENTS: usize = 65_536;
-/// Limit on the violations logged in one [`LOG_WINDOW`]; all are counted.
+/// Limit on the violations that are logged in one [`LOG_WINDOW`]; all violations are counted.
 const MAX_LOGGED: u32 = 20;
 /// Window to which [`MAX_LOGGED`] applies.
 const LOG_WINDOW: TimeDelta = TimeDelta::from_secs(10);
@@ -29,21 +32,23 @@
 /// A rule whose violations are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// A request has one final response.
+    /// A request has at most one final response.
     SecondResponse,
     /// Nothing is sent for a request after its final response, or once its client has disconnected.
     SendAfterEnd,
-    /// A request has one attempt in flight at a time.
+    /// A request has at most one attempt in flight at a time.
     ConcurrentAttempt,
-    /// No attempt is sent to an engine that has been draining or gone for longer than the drain grace.
+    /// No attempt is sent to an engine that has been draining, gone or cordoned for longer than the drain
+    /// grace.
     SendToUnlisted,
-    /// A request that may have run is retried only if its class allows it.
+    /// A request that may have run is retried only if its class allows a retry.
     UnsafeRetry,
-    /// Retries stay within the budget in every window.
+    /// In every window, the number of retries stays within the retry budget.
     RetryBudget,
-    /// The deadline sent to an engine is no later than its client's.
+    /// The deadline sent to an engine is no later than the client's deadline, up to a slack.
     LateDeadline,
-    /// A request that was read is answered before this process closes its connection.
+    /// A request that was read from a client's connection is answered before this process closes the
+    /// connection.
     ClosedUnanswered,
     /// No request that a client waits for is pending when the process ends.
     PendingAtExit,
@@ -90,13 +95,13 @@
     pub(super) class: usize,
     /// Whether the request has no final response and its client is still connected.
     pub(super) request_is_awaited: bool,
-    /// Time at which the client stops waiting.
+    /// Time at which the client stops waiting for a response.
     pub(super) deadline: Timestamp,
     /// Time left until the deadline, as given to the engine in the command.
     pub(super) sent_time_left: TimeDelta,
-    /// Time at which the engine ceased to be ready; `None` if it is ready.
+    /// Time at which the engine ceased to be listed as ready or was cordoned; `None` if it is ready.
     pub(super) not_ready_since: Option<Timestamp>,
-    /// Retries that the other managers leave to this manager, in addition to its own retry budget.
+    /// Retries that this manager may make in the retry budget's window beyond its own budget.
     pub(super) spare_retries: f64,
 }
 
@@ -112,17 +117,21 @@
 /// Checks attempts, retries and responses against the rules, and counts violations.
 pub(super) struct InvariantMonitor {
     counters: BTreeMap<Invariant, Counter>,
+    /// Number of violations of all rules so far.
     violations: Cell<u64>,
+    /// Start of the current [`LOG_WINDOW`].
     logged_since: Cell<Timestamp>,
+    /// Number of violations logged since `logged_since`.
     logged: Cell<u32>,
     drain_grace: TimeDelta,
     /// Effect and deduplication window of each class. The monitor compares them itself and doesn't call
     /// [`RetryRule::may_run_again`].
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
-    /// Times of requests, and of retries at their first byte, in the budget's window. They are kept apart
-    /// from the send guard's window, so that a fault in that window is detected.
+    /// Times of requests in the retry budget's window. The monitor's windows are separate from the send
+    /// guard's windows, so that a fault in the send guard is detected.
     requests: VecDeque<Timestamp>,
+    /// Times of the first bytes of retries in the retry budget's window.
     retries: VecDeque<Timestamp>,
     /// Requests with an attempt whose first byte was sent, by id. Bounded by the pending requests.
     sent_requests: BTreeMap<u64, SentRequest>,
@@ -152,7 +161,8 @@
         self.violations.get()
     }
 
-    /// Counts a violation and logs it. `detail`: ids and values for the log.
+    /// Counts a violation, and logs it unless [`MAX_LOGGED`] is reached. `detail`: ids and values for the
+    /// log.
     pub(super) fn record_violation(&self, now: Timestamp, rule: Invariant, detail: &str) {
         self.violations.set(self.violations.get() + 1);
         if let Some(counter) = self.counters.get(&rule) {
@@ -168,15 +178,15 @@
         }
     }
 
-    /// Records a new request.
+    /// Records a new request, which increases the retry budget.
     pub(super) fn record_request(&mut self, now: Timestamp) {
         if let Some(budget) = self.retry_budget {
             record_event(&mut self.requests, now, budget.window);
         }
     }
 
-    /// Checks an attempt whose first byte is about to be sent. A further call for the same attempt does
-    /// nothing.
+    /// Checks an attempt whose first byte is about to be sent against the rules, and records it as in flight.
+    /// A repeated call for the same attempt has no effect.
     pub(super) fn record_first_byte(&mut self, now: Timestamp, sent: &SentAttempt) {
         let before = self.sent_requests.get(&sent.id).copied();
         let in_flight = before.and_then(|request| request.in_flight);
@@ -197,8 +207,8 @@
         self.sent_requests.insert(sent.id, SentRequest { in_flight, may_have_run_since });
     }
 
-    /// Records the end of an attempt. If its first byte was sent, the attempt may have run, unless
-    /// `never_ran`.
+    /// Records the end of an attempt. If its first byte was sent, the attempt counts as one that may have
+    /// run, unless `never_ran` is true.
     pub(super) fn record_end(&mut self, id: u64, attempt: u32, never_ran: bool) {
         let Some(request) = self.sent_requests.get_mut(&id) else { return };
         let Some((_, sent_at)) = request.in_flight.take_if(|(number, _)| *number == attempt) else { return };
@@ -256,7 +266,7 @@
     }
 }
 
-/// Adds an event to a window that ends now.
+/// Adds an event at `now` to a window of length `span`, and drops the events that have left the window.
 fn record_event(events: &mut VecDeque<Timestamp>, now: Timestamp, span: TimeDelta) {
     forget_before(events, now - span);
     if events.len() >= MAX_WINDOW_EVENTS {
--- a/src/core/invariants/tests.rs
+++ b/src/core/invariants/tests.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// A monitor of three classes (safe, keyed, unsafe) and a budget of one retry in 5 s; and its metrics.
+/// A monitor of three classes (0: safe, 1: keyed, 2: unsafe) with a budget of one retry in 5 s, and the
+/// metrics in which it counts violations.
 fn monitor() -> (InvariantMonitor, Metrics) {
     let metrics = Metrics::try_new(&["a".into(), "b".into(), "c".into()]).expect("metrics");
     let settings = Settings {
@@ -61,7 +62,7 @@
     }
 }
 
-/// The rules that were violated, by their counters.
+/// The names of the counters that are not zero.
 fn violated(metrics: &Metrics) -> Vec<&'static str> {
     let text = metrics.render();
     let names = Invariant::ALL.map(Invariant::counter_name);
@@ -73,7 +74,7 @@
     let (mut monitor, metrics) = monitor();
     monitor.record_request(time_s(50.0));
     monitor.record_first_byte(time_s(50.0), &sent(1, 0, 2));
-    // Behind a slow peer, the first byte of the same attempt may be reported a second time.
+    // The first byte of an attempt may be reported again while its command waits for a slow peer.
     monitor.record_first_byte(time_s(50.1), &sent(1, 0, 2));
     monitor.record_end(1, 0, true);
     monitor.record_first_byte(time_s(50.2), &sent(1, 1, 2));
@@ -146,5 +147,5 @@
     monitor.record_first_byte(time_s(50.1), &sent(1, 1, 0));
     assert_eq!(violated(&metrics), Vec::<&str>::new());
     monitor.record_first_byte(time_s(55.0), &sent(2, 1, 0));
-    assert_eq!(violated(&metrics), ["invariant.retry_budget"], "two within 5 s");
+    assert_eq!(violated(&metrics), ["invariant.retry_budget"], "two retries within 5 s");
 }
--- a/src/core/outcome_counters.rs
+++ b/src/core/outcome_counters.rs
@@ -1,4 +1,5 @@
-//! Counters by reason, for the admin address.
+//! Counters of the ends and withdrawals of attempts and of unserved requests, by outcome or reason, for the
+//! admin address.
 //!
 //! Input: the end or withdrawal of an attempt, and the final response to a request. Output: counters in the
 //! metrics, whose names are defined in this module. State: only the counters.
@@ -43,7 +44,7 @@
     (UnservedReason::Unreachable, "responses.failed.unreachable"),
 ];
 
-/// Counters by reason.
+/// Counters of attempts by outcome or reason for withdrawal, and of unserved requests by reason.
 pub(super) struct OutcomeCounters {
     counters: BTreeMap<&'static str, Counter>,
 }
@@ -58,12 +59,12 @@
         OutcomeCounters { counters: names.map(counter).collect() }
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt by its outcome.
     pub(super) fn record_end(&self, outcome: AttemptOutcome) {
         self.increment(&OUTCOMES, outcome);
     }
 
-    /// Counts an attempt that was withdrawn just before its first byte.
+    /// Counts an attempt that the send guard rejected just before its first byte, by the reason.
     pub(super) fn record_withdrawal(&self, reason: SendRejection) {
         self.increment(&WITHDRAWALS, reason);
     }
--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -24,12 +24,12 @@
 
 pub use messages::{PolicyCommand, PolicyEvent};
 
-/// The start time of an engine, as listed and on this process's clock. It is converted once, so that a step
-/// of the system clock does not move it.
+/// The start time of an engine, as listed and on this process's clock. The listed time is converted once, so
+/// that a step of the system clock does not move the converted time.
 struct EngineStart {
     /// Start time in the endpoint list, in Unix milliseconds.
     listed_ms: i64,
-    /// The same time on this process's clock.
+    /// Start time on this process's clock.
     started_at: Timestamp,
 }
 
@@ -43,7 +43,7 @@
     kinds: Vec<String>,
     /// Timers by due time, with the token that the policy assigned to each.
     timers: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    /// Scratch space for the policy's actions.
+    /// Actions of the policy for the current event; empty between two events.
     actions: Vec<Action>,
     recorder: Option<Recorder>,
     /// Start time of each engine that is listed with one, by engine index.
@@ -57,8 +57,8 @@
 }
 
 impl PolicyDriver {
-    /// Creates a driver with a policy that starts at `now`. `zones`, `kinds`: names in the order of their
-    /// indices.
+    /// Creates a driver with a policy that starts at `now` with the random seed `seed`. `zones`, `kinds`:
+    /// names of the zones and machine kinds, in the order of their indices.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Sets the recorder of all further events and actions; `None` stops the recording. Returns the previous
-    /// recorder.
+    /// Sets the recorder for all events and actions from now on; `None` stops the recording. Returns the
+    /// previous recorder.
     pub fn set_recorder(&mut self, recorder: Option<Recorder>) -> Option<Recorder> {
         self.engine_indices.set_recorded(recorder.is_some());
         std::mem::replace(&mut self.recorder, recorder)
     }
 
-    /// The recorder's counters, if there is one.
+    /// The counters of the current recorder; `None` if nothing is recorded.
     pub fn recorder_counters(&self) -> Option<RecorderCounters> {
         self.recorder.as_ref().map(Recorder::counters)
     }
 
-    /// The index of an engine; assigns one if the engine has none yet.
+    /// The index of the engine with this id; assigns an index if the engine has none yet.
     pub fn engine_index(&mut self, id: &str) -> usize {
         self.engine_indices.get_or_assign(id) as usize
     }
@@ -103,9 +103,10 @@
         self.engine_indices.release(index);
     }
 
-    /// Time at which an engine started, from the list's Unix milliseconds; `None` if these are not positive.
-    /// The result stays the same for as long as the list's value does, so that a step of the wall clock does
-    /// not begin an engine's slow start again.
+    /// Time at which an engine started, on this process's clock. `listed_ms`: the start time in the endpoint
+    /// list, in Unix milliseconds; the result is `None` if it is not positive. The result stays the same for
+    /// as long as `listed_ms` stays the same, so that a step of the wall clock does not begin an engine's
+    /// slow start again.
     fn started_at(&mut self, id: &str, listed_ms: i64) -> Option<Timestamp> {
         let index = self.engine_indices.get_or_assign(id);
         if listed_ms <= 0 {
@@ -121,8 +122,8 @@
         Some(started_at)
     }
 
-    /// Records the offset of the wall clock. Must be called often, so that every step of the wall clock is
-    /// detected.
+    /// Reads the wall clock and records its offset from the process's clock. Must be called about once per
+    /// second or more often, so that every step of the wall clock is detected.
     pub fn observe_wall_clock(&mut self) {
         self.wall_clock.observe(unix(), now());
     }
@@ -132,7 +133,7 @@
         self.policy.engine_views()
     }
 
-    /// Passes a new request to the policy; returns the commands that follow.
+    /// Passes a new request to the policy; returns the policy's commands.
     pub fn on_request(&mut self, now: Timestamp, request: &RequestSpec) -> Vec<PolicyCommand> {
         let event = Event::RequestArrived(Arrival {
             id: RequestId(request.id),
@@ -142,16 +143,16 @@
             time_left: request.time_left,
             cost: request.cost_ms.map(|ms| ms / 1e3).filter(|cost| *cost > 0.0),
             memory_mb: request.memory_mb.filter(|mb| *mb > 0.0),
-            // No ordering key is passed, although a request may carry an idempotency key. The policy's order
-            // by key (`ordered_by_key`, `KeyOrder`, `key_settle_time`) is therefore never applied by this
-            // program; only the simulator passes keys. A request in the queue does not wait for another
-            // request with the same key.
+            // No ordering key is passed, although a request may carry an idempotency key. This program
+            // therefore never uses the policy's order by key (`ordered_by_key`, `KeyOrder`,
+            // `key_settle_time`), and a request in the queue does not wait for another request with the same
+            // key. Only the simulator passes keys.
             key: None,
         });
         self.handle(now, event)
     }
 
-    /// Passes an event to the policy; returns the commands that follow.
+    /// Passes an event to the policy; returns the policy's commands.
     pub fn on_event(&mut self, now: Timestamp, event: PolicyEvent) -> Vec<PolicyCommand> {
         let event = match event {
             PolicyEvent::EndpointList { list, is_cached } => self.list_event(list, is_cached),
@@ -205,7 +206,7 @@
         Event::EndpointsChanged { kind, entries: entries.collect() }
     }
 
-    /// Fires every timer of the policy that is due; returns the commands that follow.
+    /// Fires every timer of the policy that is due; returns the policy's commands.
     pub fn fire_timers(&mut self, now: Timestamp) -> Vec<PolicyCommand> {
         let mut commands = Vec::new();
         while self.next_due().is_some_and(|due| due <= now) {
@@ -215,7 +216,7 @@
         commands
     }
 
-    /// Time at which the next timer of the policy is due.
+    /// Time at which the next timer of the policy is due; `None` if no timer is set.
     pub fn next_due(&self) -> Option<Timestamp> {
         self.timers.peek().map(|Reverse((due, _))| *due)
     }
@@ -245,7 +246,7 @@
     }
 }
 
-/// The command for an action of the policy; `None` if the core has nothing to do.
+/// Converts an action of the policy to a command; `None` if the action has no effect on the core.
 fn command_of(action: Action) -> Option<PolicyCommand> {
     match action {
         Action::ForwardAttempt { id, engine, .. } => {
@@ -262,11 +263,11 @@
             Some(PolicyCommand::Fail { id: id.0, retry_after: retry_after.unwrap_or_default() })
         }
         Action::Log(text) => Some(PolicyCommand::Log(text)),
-        // `StartTimer` is carried out by `PolicyDriver::handle`. The others have no effect in this program:
+        // `PolicyDriver::handle` carries out `StartTimer`. The other actions have no effect in this program:
         // - `WatchEndpoints`: the endpoint list is watched from the start to the end of the process.
-        // - `Probe`: no probe is sent, so that no reply to one arrives. If `limits.probes` is on and engines
-        //   report their load, the policy still spends its probe credit, and holds a request of several
-        //   threads for `PROBE_WAIT` before it selects an engine.
+        // - `Probe`: this program sends no load probes, so that no reply to a probe arrives. If
+        //   `limits.probes` is on and engines report their load, the policy still spends its probe credit,
+        //   and holds a request of several threads for `PROBE_WAIT` before it selects an engine.
         // - `BroadcastToPeers`: managers exchange their state by the membership's gossip instead.
         // - `Explain`: explanations are written to captures (the recorder already has them), not to the log.
         Action::StartTimer { .. }
@@ -277,8 +278,8 @@
     }
 }
 
-/// Converts a progress note to the policy's type. The value of a `waiting` note is 1 for memory and 2 for a
-/// load.
+/// Converts a progress note to the policy's type. The value of a `waiting` note is 1 if the query waits for
+/// memory, and 2 if it waits for a load of its tables to end.
 fn progress_note(topic: UpdateTopic, value: f64) -> ProgressNote {
     match topic {
         UpdateTopic::Progress => ProgressNote::Progress(value),
@@ -293,7 +294,7 @@
     sprucelink_policy::QueryCost { work: cost.work_ms / 1e3, memory_mb: cost.memory_mb }
 }
 
-/// Converts a load report to the policy's type.
+/// Converts a load report to the policy's type, in which utilization is the busy or granted fraction.
 fn policy_report(stats: &LoadStats) -> LoadReport {
     LoadReport {
         queries_in_flight: stats.in_flight,
--- a/src/core/policy_driver/tests.rs
+++ b/src/core/policy_driver/tests.rs
@@ -1,8 +1,9 @@
-//! Tests of the driver's own state.
+//! Tests of the state that the driver keeps of each engine.
 
 use super::*;
 
-/// If the start time moved with the wall clock, the engine's slow start would begin again.
+/// An engine's start time may be listed many times. If its conversion moved with the wall clock, the engine's
+/// slow start would begin again.
 #[test]
 fn start_time_that_is_listed_again_stays_the_same_instant() {
     let mut driver = PolicyDriver::new(Settings::default(), 1, Vec::new(), Vec::new(), Timestamp::ZERO);
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -1,22 +1,22 @@
 //! The ids of recently submitted requests.
 //!
-//! Input: the id and statement of each request. Output: whether the id may be used. State: a hash of the
-//! statement of each recent id.
+//! Input: the id and statement of each request. Output: whether the id may be used for the statement. State:
+//! a hash of the statement of each recent id.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 
-/// Time for which an id and the hash of its statement are kept.
+/// Time after the submission of a request for which its id and the hash of its statement are kept.
 const RETENTION: TimeDelta = TimeDelta::from_secs(30);
 /// Limit on the kept ids; the oldest are dropped first.
 const MAX_IDS: usize = 20_000;
 
 /// The ids of recently submitted requests, each with a hash of its statement.
 ///
-/// An id must not be reused for another statement soon after the first request has ended: an engine or a
-/// client could take the response to one request for the response to the other. The same statement with the
-/// same id is a retry by the client.
+/// An id must not be reused for another statement soon after a request with this id has ended: an engine or a
+/// client could take the response to one of the two requests for the response to the other. The same
+/// statement with the same id is a retry by the client.
 #[derive(Default)]
 pub(super) struct RecentRequests {
     statement_hashes: BTreeMap<u64, u64>,
@@ -24,7 +24,8 @@
 }
 
 impl RecentRequests {
-    /// Records an id; returns false if it was recently used for another statement.
+    /// Records an id; returns false if it was recently used for another statement. A repeated id does not
+    /// restart its retention.
     pub(super) fn insert(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
         self.remove_old(now);
         let mut hasher = DefaultHasher::new();
--- a/src/core/request_counters.rs
+++ b/src/core/request_counters.rs
@@ -1,4 +1,5 @@
-//! Counters of requests between two log lines. Input: counts. Output: a log line. State: the counters.
+//! Counters of requests and attempts between two log lines. Input: increments by `request_statistics`.
+//! Output: a log line. State: the counters.
 
 use tracing::info;
 
@@ -9,13 +10,13 @@
     pub(super) submitted: u32,
     /// Requests completed with a result.
     pub(super) served: u32,
-    /// Requests rejected: a retry by the client does no harm.
+    /// Requests rejected, which their clients may retry without harm.
     pub(super) rejected: u32,
-    /// Requests failed: an attempt may have run.
+    /// Requests failed, of which an attempt may have run.
     pub(super) failed: u32,
     /// Requests abandoned or cancelled by their clients.
     pub(super) abandoned: u32,
-    /// Attempts made.
+    /// Attempts started, including those that were not sent.
     pub(super) attempts: u32,
 }
 
--- a/src/core/request_statistics.rs
+++ b/src/core/request_statistics.rs
@@ -17,7 +17,7 @@
 
 /// Counts requests and attempts by their outcomes, for the metrics and for the log.
 pub(super) struct RequestStatistics {
-    /// Counters by reason, in the metrics.
+    /// Counters in the metrics, by outcome or reason.
     outcomes: OutcomeCounters,
     /// Counters since the last log line.
     counters: RequestCounters,
@@ -42,7 +42,8 @@
         self.counters.submitted += 1;
     }
 
-    /// Counts a request that was abandoned or, if `was_cancelled`, cancelled by its client.
+    /// Counts a request that was abandoned or, if `was_cancelled`, cancelled by its client. `accounting`: the
+    /// request's entry in the metrics.
     pub(super) fn record_abandonment(&mut self, accounting: Option<ActiveRequest>, was_cancelled: bool) {
         if let Some(accounting) = accounting {
             if was_cancelled {
@@ -54,22 +55,22 @@
         self.counters.abandoned += 1;
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt that was started.
     pub(super) fn record_attempt(&mut self) {
         self.counters.attempts += 1;
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt by its outcome.
     pub(super) fn record_attempt_end(&self, outcome: AttemptOutcome) {
         self.outcomes.record_end(outcome);
     }
 
-    /// Counts an attempt that was withdrawn just before its first byte.
+    /// Counts an attempt that the send guard rejected just before its first byte, by the reason.
     pub(super) fn record_withdrawal(&self, reason: SendRejection) {
         self.outcomes.record_withdrawal(reason);
     }
 
-    /// Counts a final response.
+    /// Counts a final response. `accounting`: the request's entry in the metrics.
     pub(super) fn record_response(&mut self, response: &Response, accounting: Option<ActiveRequest>) {
         self.outcomes.record_response(response);
         match response {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Resets the count of lost events, for a new recorder.
+    /// Resets the number of lost events that was last logged, because a new recorder counts from zero.
     pub(super) fn reset_capture_losses(&mut self) {
         self.logged_capture_losses = 0;
     }
@@ -98,8 +99,8 @@
         now >= self.next_log_at
     }
 
-    /// Logs the counters of the last interval and resets them. `capture_losses`: events that the recorder has
-    /// lost so far.
+    /// Logs the counters of the last interval and resets them. `pending`: pending requests; `buffers_in_use`:
+    /// buffers of the pool in use; `capture_losses`: events that the recorder has lost so far.
     pub(super) fn log(&mut self, now: Timestamp, pending: usize, buffers_in_use: usize, capture_losses: u64) {
         self.next_log_at = now + LOG_INTERVAL;
         if capture_losses > self.logged_capture_losses {
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -1,8 +1,8 @@
 //! The request table: the state of every pending request, with its deadline and cancellations.
 //!
-//! Input: new requests, and changes to them. Output: deadlines and cancellations that are due. State: each
-//! pending request with its attempt in flight, and the ids of recent requests. The `coordinator` module
-//! decides what happens to a request.
+//! Input: new requests, and changes to pending requests. Output: deadlines that have passed, and checks of
+//! cancellations that are due. State: each pending request with its attempt in flight, and the ids of recent
+//! requests. The `coordinator` module decides what happens to a request.
 
 use super::attempt::{AttemptOutcome, InFlightAttempt};
 use super::buffer_pool::Buffer;
@@ -22,15 +22,15 @@
     pub(super) class_name: String,
     /// Index of the class.
     pub(super) class: usize,
-    /// The idempotency key, for classes that have one.
+    /// The idempotency key that engines use to deduplicate attempts; `None` if the class needs none.
     pub(super) idempotency_key: Option<String>,
     pub(super) statement: Buffer,
     /// Time at which the request was submitted.
     pub(super) arrived_at: Timestamp,
     /// The client's estimate of the work, in milliseconds on one core; 0 if there is none.
     pub(super) cost_ms: f64,
-    /// Time at which the client stops waiting. For a request submitted after SIGTERM: at the latest the
-    /// shutdown deadline.
+    /// Time at which the client stops waiting. For a request that was submitted after SIGTERM, the shutdown
+    /// deadline if that is earlier.
     pub(super) deadline: Timestamp,
     /// Memory granted to the next attempt, in MB; `None` if the engine chooses.
     pub(super) memory_grant_mb: Option<f64>,
@@ -40,18 +40,18 @@
     pub(super) attempts: u32,
     /// The attempt in flight; there is at most one at a time.
     pub(super) in_flight: Option<InFlightAttempt>,
-    /// Outcome of the last attempt that has ended.
+    /// Outcome of the last attempt that has ended; `None` if no attempt has ended.
     pub(super) last_outcome: Option<AttemptOutcome>,
     /// Time at which the first attempt that may have run was queued; `None` if none may have run.
     pub(super) may_have_run_since: Option<Timestamp>,
-    /// Sender of the final response; `None` once the response was sent or the client has disconnected.
+    /// Sender of the final response; `None` once the response was sent or the request was abandoned.
     pub(super) responder: Option<oneshot::Sender<Response>>,
     /// The request's entry in the metrics; `None` once the request was completed or abandoned.
     pub(super) accounting: Option<ActiveRequest>,
 }
 
 impl PendingRequest {
-    /// Creates the entry of a request that was submitted at `arrived_at`, with no attempt made.
+    /// Creates the entry of a request that was submitted at `arrived_at` and has no attempt yet.
     pub(super) fn new(
         request: Request,
         arrived_at: Timestamp,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether a client still waits for the final response.
+    /// Whether the request has no final response and its client still waits for one.
     pub(super) fn is_awaited(&self) -> bool {
         self.responder.is_some()
     }
@@ -96,8 +96,8 @@
 }
 
 impl RequestTable {
-    /// Whether a new request may use this id: it is not pending and was not recently used for another
-    /// statement. If so, the id is recorded as used.
+    /// Records the id of a new request as used; returns false if a request with this id is pending or the id
+    /// was recently used for another statement.
     pub(super) fn reserve_id(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
         !self.requests.contains_key(&id) && self.recent.insert(id, statement, now)
     }
@@ -126,35 +126,34 @@
         &self.requests[&id]
     }
 
-    /// The attempt in flight of a request.
+    /// The attempt in flight of a request; `None` if there is none or the request is not pending.
     pub(super) fn in_flight(&self, id: u64) -> Option<&InFlightAttempt> {
         self.requests.get(&id)?.in_flight.as_ref()
     }
 
-    /// The attempt in flight of a request.
+    /// The attempt in flight of a request; `None` if there is none or the request is not pending.
     pub(super) fn in_flight_mut(&mut self, id: u64) -> Option<&mut InFlightAttempt> {
         self.requests.get_mut(&id)?.in_flight.as_mut()
     }
 
-    /// The attempt in flight of a request, if it has this number; `None` for a late event on an ended
-    /// attempt.
+    /// The attempt in flight of a request, if its number is `attempt`; `None` if that attempt has ended.
     pub(super) fn attempt_mut(&mut self, id: u64, attempt: u32) -> Option<&mut InFlightAttempt> {
         self.in_flight_mut(id).filter(|in_flight| in_flight.number == attempt)
     }
 
-    /// Removes the attempt in flight of a request.
+    /// Removes the attempt in flight of a request and returns it.
     pub(super) fn take_in_flight(&mut self, id: u64) -> Option<InFlightAttempt> {
         self.requests.get_mut(&id)?.in_flight.take()
     }
 
-    /// The ids of all requests without a final response.
+    /// The ids of all requests whose clients wait for a final response.
     pub(super) fn awaited_ids(&self) -> Vec<u64> {
         let awaited = self.requests.iter().filter(|(_, request)| request.is_awaited());
         awaited.map(|(id, _)| *id).collect()
     }
 
-    /// Removes a request that has its final response and no attempt in flight; returns whether it was
-    /// removed.
+    /// Removes a request if its client waits for no response and no attempt is in flight; returns whether the
+    /// request was removed.
     pub(super) fn remove_if_done(&mut self, id: u64) -> bool {
         let is_done = self.requests.get(&id).is_some_and(|r| !r.is_awaited() && r.in_flight.is_none());
         if !is_done {
@@ -166,12 +165,12 @@
         true
     }
 
-    /// Schedules a check of whether the cancellation of an attempt has taken effect.
+    /// Schedules a check, at time `at`, of whether the cancellation of an attempt has taken effect.
     pub(super) fn schedule_cancellation_check(&mut self, at: Timestamp, id: u64, attempt: u32) {
         self.cancellations.insert((at, id, attempt));
     }
 
-    /// Whether the check of a cancellation is due.
+    /// Whether the check of any cancellation is due.
     pub(super) fn has_due_cancellation_check(&self, now: Timestamp) -> bool {
         self.cancellations.first().is_some_and(|(at, ..)| *at <= now)
     }
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -1,17 +1,18 @@
-//! The result of a request.
+//! The buffer for the result of a request.
 //!
-//! Input: pages, in any order. Output: rows, in order. State: all pages, until the client has received the
-//! last row.
+//! Input: pages, in any order. Output: rows, in the order of the pages. State: all pages, until the client
+//! has received the last row.
 
 use super::buffer_pool::{Buffer, BufferPool};
 use std::ops::Range;
 
-/// Limit on the length of a page, in bytes.
+/// Limit on the length of a page of a result, in bytes; an engine that sends more violates the protocol.
 pub(super) const MAX_PAGE_BYTES: usize = 6_000;
-/// Limit on the length of a result, in bytes.
+/// Limit on the length of all pages of a result together, in bytes; an engine that sends more violates the
+/// protocol.
 pub(super) const MAX_RESULT_BYTES: usize = 48_000;
 
-/// The location of a page.
+/// The location of a page in the buffers of its result.
 #[derive(Clone, Debug)]
 struct Page {
     /// Index of the page's buffer in [`ResultSet::buffers`].
@@ -29,7 +30,8 @@
     byte: usize,
 }
 
-/// A result. Its pages fill as few buffers as possible, in the order of their arrival.
+/// The result of a request, as pages of tab-separated rows. A page is stored in the last buffer if it fits,
+/// and otherwise in a new buffer.
 #[derive(Debug, Default)]
 pub struct ResultSet {
     buffers: Vec<Buffer>,
@@ -53,7 +55,7 @@
         self.pages.iter().all(Option::is_some)
     }
 
-    /// Stores an expected page; returns false if the pool has no buffer for it.
+    /// Stores the expected page with number `page`; returns false if the pool has no buffer for it.
     pub(super) fn insert_page(&mut self, pool: &BufferPool, page: usize, body: &[u8]) -> bool {
         if !self.buffers.last().is_some_and(|buffer| buffer.has_capacity(body.len())) {
             let Some(buffer) = pool.get() else { return false };
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -4,23 +4,24 @@
 //! whether the attempt may be sent, with the reason if not. State: the retry budget's window and the shutdown
 //! deadline.
 //!
-//! The policy selected the engine some time ago. Since then the attempt may have waited for its connection,
-//! for a slow peer, or for the processor. Five rules are therefore checked again on the current state: the
-//! request is open, the deadline has not passed, the engine is ready, the class allows a retry
+//! Between the selection of the engine by the policy and the first byte, an attempt may wait for its
+//! connection, for a slow peer, or for the processor. Five rules are therefore checked again on the current
+//! state: the request is open, the deadline has not passed, the engine is ready, the class allows a retry
 //! ([`RetryRule::may_run_again`]), and the retry budget has capacity ([`RetryBudgetSettings::has_capacity`]).
-//! The other rules are checked only when the engine is selected: number of attempts, deduplication group,
-//! slow start, health. An attempt that fails a check is withdrawn; it was never sent, so its request loses
+//! The other rules (number of attempts, deduplication group, slow start, health) are checked only when the
+//! engine is selected. An attempt that fails a check is withdrawn; it was never sent, so its request loses
 //! nothing but time.
 
 use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
 
-/// Smallest width of the slots in which events are counted. Longer windows have wider slots.
+/// Smallest width of the slots in which requests and retries are counted. Windows longer than [`MAX_SLOTS`]
+/// times this width have wider slots.
 const MIN_SLOT_WIDTH: TimeDelta = TimeDelta::from_millis(20);
-/// Limit on the number of slots of a window.
+/// Limit on the number of slots into which the retry budget's window is divided, which bounds its memory.
 const MAX_SLOTS: u32 = 1_024;
 
-/// Why an attempt may not be sent.
+/// The reason why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendRejection {
     /// The request has its final response, or its client has disconnected.
@@ -29,7 +30,8 @@
     DeadlinePassed,
     /// The engine is draining, gone or cordoned.
     EngineNotReady,
-    /// The request's class may not be retried, or its deduplication window has ended.
+    /// An attempt of the request may have run, and either its class must not run twice or its deduplication
+    /// window has ended.
     NotRetryable,
     /// The retry budget is exhausted.
     RetryBudgetSpent,
@@ -53,23 +55,25 @@
     pub(super) engine_is_ready: bool,
 }
 
-/// The rules on what is sent, and the counts that they need.
+/// The rules that are checked before the first byte of an attempt, and the requests and retries counted for
+/// the retry budget.
 #[derive(Debug)]
 pub(super) struct SendGuard {
     /// Retry rules by class index.
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
-    /// Requests, and retries at their first byte, in the retry budget's window. The policy has its own window
-    /// (`RetryBudget`), which counts a retry when it is decided, even if the attempt is withdrawn before its
-    /// first byte.
+    /// Requests in the retry budget's window.
     requests: SlotWindow<u32>,
+    /// Retries in the retry budget's window, each counted at its first byte. The policy has its own window
+    /// (`RetryBudget`), which counts a retry when the policy decides on it, even if the attempt is withdrawn
+    /// before its first byte.
     retries: SlotWindow<u32>,
     /// Time from which this process rejects all requests; `None` until it shuts down.
     shutdown_deadline: Option<Timestamp>,
 }
 
 impl SendGuard {
-    /// Creates a guard with the rules of the policy's settings, with all counts at zero.
+    /// Creates a guard that applies the rules in the policy's settings; all counts are zero.
     pub(super) fn new(settings: &Settings) -> SendGuard {
         let span = settings.retry_budget.as_ref().map_or(TimeDelta::ZERO, |budget| budget.window);
         SendGuard {
@@ -81,12 +85,13 @@
         }
     }
 
-    /// Sets the time from which this process rejects all requests and sends nothing.
+    /// Sets the time from which this process rejects all requests and sends nothing to an engine.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Timestamp) {
         self.shutdown_deadline = Some(deadline);
     }
 
-    /// Time by which a request must have its response, if its client waits until `deadline`.
+    /// Time by which a request must have its response: the earlier of the client's `deadline` and the
+    /// shutdown deadline.
     pub(super) fn response_deadline(&self, deadline: Timestamp) -> Timestamp {
         self.shutdown_deadline.map_or(deadline, |shutdown| shutdown.min(deadline))
     }
@@ -103,18 +108,19 @@
         }
     }
 
-    /// Counts an attempt whose first byte is being sent.
+    /// Charges an attempt whose first byte is about to be sent to the retry budget, if
+    /// `charges_retry_budget`.
     pub(super) fn record_first_byte(&mut self, now: Timestamp, charges_retry_budget: bool) {
         if charges_retry_budget && self.retry_budget.is_some() {
             self.retries.increment(now);
         }
     }
 
-    /// Checks whether an attempt may be sent. `spare_retries`: retries that other managers leave to this
-    /// manager.
+    /// Checks whether an attempt may be sent. `spare_retries`: retries that this manager may make in the
+    /// window beyond its own retry budget.
     ///
     /// # Errors
-    /// The first rule that the attempt would break.
+    /// The first rule that the attempt would break, in the order of [`SendRejection`].
     pub(super) fn check(
         &self,
         now: Timestamp,
@@ -144,8 +150,8 @@
         rule.is_none_or(|rule| rule.may_run_again(now, attempt.may_have_run_since))
     }
 
-    /// Whether a further retry stays within the budget. In the slot in which the window starts, retries are
-    /// counted and requests are not, so that no exact window has more retries than the budget allows.
+    /// Whether a further retry stays within the budget. Of the slot in which the window starts, all retries
+    /// are counted and no requests, so that no exact window has more retries than the budget allows.
     fn has_retry_budget(&self, now: Timestamp, spare_retries: f64) -> bool {
         let Some(budget) = &self.retry_budget else { return true };
         let requests = self.requests.count_within(now);
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -96,7 +96,7 @@
     assert!(!guard.is_closed(time_ms(699)) && guard.is_closed(time_ms(700)));
 }
 
-/// For any times of requests and retries, no retry exceeds the budget of the window that ends with it.
+/// For any times of requests and retries, no retry exceeds the budget of the window that ends at the retry.
 #[test]
 fn no_window_has_more_retries_than_its_budget() {
     fn stays_within_budget(steps: Vec<(u8, bool)>) -> TestResult {
--- a/src/core/socket.rs
+++ b/src/core/socket.rs
@@ -2,10 +2,10 @@
 //!
 //! tokio's own streams treat a read or write of fewer bytes than requested as evidence that the socket is
 //! empty or full, and wait for the next readiness event. If the socket is neither, that event never arrives,
-//! and the reader or writer waits until its timeout. This happens because a signal may shorten a call, and
-//! because the end of a stream that arrives with the last bytes may be reported by a separate flag, which not
-//! every layer below a program passes on. A call that a signal interrupts before it has transferred a byte is
-//! repeated. State: only the socket.
+//! and the reader or writer waits until its timeout. A call may transfer fewer bytes for two other reasons: a
+//! signal may shorten it, and the end of a stream that arrives with the last bytes may be reported by a
+//! separate flag, which not every layer below a program passes on. A call that a signal interrupts before it
+//! has transferred a byte is repeated. State: only the socket.
 
 use std::io;
 use std::pin::Pin;
@@ -14,7 +14,7 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::TcpStream;
 
-/// A TCP connection whose reads and writes are tried before it waits for readiness.
+/// A TCP connection that waits for readiness only after a read or write that would block.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Repeats a system call for as long as a signal interrupts it.
+/// Repeats a system call until it ends without being interrupted by a signal.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads the available bytes.
+/// Reads the available bytes into `buffer`; reads none at the end of the stream.
 fn poll_read(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Writes as many bytes as the socket accepts.
+/// Writes as many bytes as the socket accepts; returns their number.
 fn poll_write(stream: &TcpStream, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(context))?;
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -23,8 +23,8 @@
 }
 
 impl StartupControl {
-    /// Creates the control of a start-up that begins at `now`. `name`: this manager's configured name.
-    /// `listed_engines`: the number of engines known so far.
+    /// Creates the control of a start-up that begins at `now`. `name`: this manager's configured name;
+    /// `seed`: seed of the jitter of Retry-After; `listed_engines`: the number of engines listed so far.
     pub(super) fn new(
         settings: &StartupConfig,
         name: &str,
@@ -51,27 +51,27 @@
         self.admission.admit(now, pending)
     }
 
-    /// Records that a request was served, and its latency.
+    /// Records that a request was served, `latency` after its submission.
     pub(super) fn record_served(&mut self, latency: TimeDelta) {
         self.admission.record_served(latency);
     }
 
-    /// Records that an engine rejected or failed an attempt.
+    /// Records that an engine rejected an attempt because of its load, or answered it with an error.
     pub(super) fn record_engine_failure(&mut self) {
         self.admission.record_engine_failure();
     }
 
-    /// Reserves a dial of an engine; returns the time at which the dial may be made.
+    /// Reserves a dial of an engine; returns the time from which the dial may start.
     pub(super) fn reserve_dial(&mut self, now: Timestamp, engine_id: &str) -> Timestamp {
         self.dial_pacer.reserve_dial(now, engine_id)
     }
 
-    /// Records that the control feed has answered a poll.
+    /// Records that the control feed has answered a poll, for readiness.
     pub(super) fn record_feed_answer(&mut self) {
         self.readiness.record_feed_answer();
     }
 
-    /// Records that a connection to an engine has opened.
+    /// Records that a connection to an engine has opened, for readiness.
     pub(super) fn record_connection(&mut self) {
         self.readiness.record_connection();
     }
@@ -81,8 +81,8 @@
         self.readiness.record_endpoint_list(listed_engines);
     }
 
-    /// Logs once that this manager has become ready; returns the time of the next check, or `None` if none is
-    /// needed.
+    /// Logs once that this manager has become ready; returns the time of the next check, or `None` if no
+    /// further check is needed.
     pub(super) fn check_readiness(&mut self, now: Timestamp) -> Option<Timestamp> {
         if let Some(ready) = self.readiness.check(now) {
             info!(
@@ -98,8 +98,8 @@
         self.readiness.next_check_at()
     }
 
-    /// Returns the part of a list that may be applied, if the list is older than the current one or
-    /// contradicts itself; `None` if the whole list may be applied.
+    /// Returns the part of a list that may be applied, if the list is older than the current list or
+    /// contradicts itself; `None` if the complete list may be applied.
     pub(super) fn filter_list(&mut self, list: &ListEvent, now: Timestamp) -> Option<ListEvent> {
         let entries: Vec<(&str, EndpointState)> =
             list.members.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
--- a/src/core/system_error.rs
+++ b/src/core/system_error.rs
@@ -5,15 +5,15 @@
 /// Error numbers that have no kind in the standard library, with the values of all common architectures of
 /// Linux.
 mod errno {
-    /// No descriptor is left in the system.
+    /// The system's limit on open files is reached.
     pub(super) const ENFILE: i32 = 23;
-    /// No descriptor is left in the process.
+    /// The process's limit on file descriptors is reached.
     pub(super) const EMFILE: i32 = 24;
-    /// No memory is left for the call.
+    /// The kernel has no memory for the call.
     pub(super) const ENOMEM: i32 = 12;
-    /// No buffer space is left.
+    /// The kernel has no buffer space for the socket.
     pub(super) const ENOBUFS: i32 = 105;
-    /// No local port is left.
+    /// All local ports are in use, or the local address does not exist.
     pub(super) const EADDRNOTAVAIL: i32 = 99;
 }
 
@@ -24,7 +24,7 @@
     matches!(error.raw_os_error(), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM))
 }
 
-/// Whether a dial failed for a local and transient reason, which says nothing about the peer.
+/// Whether a dial failed for a local and transient reason. Such an error says nothing about the peer.
 pub fn is_local_dial_failure(error: &io::Error) -> bool {
     use io::ErrorKind::{AddrNotAvailable, Interrupted, WouldBlock};
     is_out_of_resources(error)
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -11,6 +11,7 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
+/// Settings with one idempotent class, cancellation and at most 6 attempts. `cores`: cores of each engine.
 fn settings(cores: f64) -> Settings {
     let class = ClassSettings {
         value: 1.0,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A core with two engines that accept connections and send nothing.
+/// A core with two engines of 8 cores that accept connections and send nothing, and their listeners.
 pub(super) async fn core() -> (Rc<Core>, Vec<TcpListener>) {
     let listen = || TcpListener::bind("127.0.0.1:0");
     let listeners = vec![listen().await.expect("a port"), listen().await.expect("a port")];
@@ -44,7 +45,7 @@
 }
 
 /// A core with an engine of `cores` cores behind each listener, and at most `max_streams` attempts on a
-/// connection.
+/// connection at a time. The engine behind listener `i` has the id `s-(i + 1)`.
 pub(super) fn core_with(
     listeners: Vec<TcpListener>,
     max_streams: usize,
@@ -76,7 +77,7 @@
     (core, listeners)
 }
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list, without zone and machine kind.
 pub(super) fn member(id: &str, address: String, phase: EndpointPhase, up_since_ms: i64) -> Endpoint {
     Endpoint { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
 }
--- a/src/core/wall_clock.rs
+++ b/src/core/wall_clock.rs
@@ -3,17 +3,17 @@
 //! Input: readings of both clocks, and Unix times stamped by other machines. Output: those times on the
 //! process's clock. State: the recent offsets.
 //!
-//! A time that another machine stamps is read some seconds later. If the wall clock steps in between, by an
-//! hour for instance, the time would seem an hour older or an hour ahead. Each recent offset therefore gives
-//! a candidate for the stamped time on the process's clock, and the latest candidate that is not in the
-//! future is used: an engine then counts as started too late rather than too early, and its slow start ends
-//! later.
+//! This process reads a time some seconds after another machine has stamped it. If the wall clock steps in
+//! between, by an hour for instance, the time would seem an hour older or an hour ahead. Each recent offset
+//! therefore gives a candidate for the stamped time on the process's clock, and the latest candidate that is
+//! not in the future is used. If the choice is wrong, an engine counts as started too late and not too early,
+//! so that its slow start ends later.
 
 use sprucelink_policy::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 use tracing::warn;
 
-/// Limit on the kept offsets; the oldest are dropped first.
+/// Limit on the number of offsets that are kept; the oldest are dropped first.
 const MAX_OFFSETS: usize = 8;
 /// Smallest change of the offset that counts as a step. A smaller change is slewing, or the time between the
 /// two readings.
--- a/src/core/wall_clock/tests.rs
+++ b/src/core/wall_clock/tests.rs
@@ -1,9 +1,8 @@
-//! Tests of the wall clock under steps.
+//! Tests of the conversion of Unix times under steps of the wall clock.
 
 use super::*;
 
-/// An hour in seconds.
-const HOUR: i64 = 3_600;
+const HOUR_S: i64 = 3_600;
 
 fn time_s(seconds: i64) -> Timestamp {
     Timestamp::from_secs(seconds)
@@ -30,19 +29,19 @@
 
 #[test]
 fn time_stamped_before_a_step_is_converted_with_the_earlier_offset() {
-    for step in [HOUR, -HOUR, 2, -2] {
+    for step in [HOUR_S, -HOUR_S, 2, -2] {
         let mut clock = WallClock::default();
         clock.observe(time_s(100_000), time_s(100_000));
         clock.observe(time_s(100_010 + step), time_s(100_010));
-        // Stamped 3 s before the step and read 2 s after it. After a small step, the result may be too late
-        // by the size of the step.
-        let ambiguity = if step.abs() < HOUR { step.abs() } else { 0 };
+        // A time that was stamped 3 s before the step and is converted 2 s after the step. If the step is
+        // small (here less than an hour), the converted time may be up to the size of the step too late.
+        let ambiguity = if step.abs() < HOUR_S { step.abs() } else { 0 };
         let converted = clock.process_time_of(time_s(100_007), time_s(100_012 + step), time_s(100_012));
         assert!(
             converted >= time_s(100_007) && converted <= time_s(100_007 + ambiguity),
             "step {step}: {converted:?}"
         );
-        // Stamped 1 s after the step.
+        // A time that was stamped 1 s after the step and is converted 1 s later.
         let converted =
             clock.process_time_of(time_s(100_011 + step), time_s(100_012 + step), time_s(100_012));
         assert!(converted >= time_s(100_011) && converted <= time_s(100_012), "step {step}: {converted:?}");
@@ -52,7 +51,7 @@
 #[test]
 fn time_in_the_future_by_every_offset_counts_as_now() {
     let mut clock = WallClock::default();
-    assert_eq!(clock.process_time_of(time_s(HOUR), time_s(10), time_s(10)), time_s(10));
+    assert_eq!(clock.process_time_of(time_s(HOUR_S), time_s(10), time_s(10)), time_s(10));
 }
 
 #[test]
@@ -64,7 +63,7 @@
     }
     assert_eq!(clock.offsets.len(), 1, "no step");
     for step in 0..100 {
-        clock.observe(time_s(2_000 + step * HOUR), time_s(2_000));
+        clock.observe(time_s(2_000 + step * HOUR_S), time_s(2_000));
     }
     assert_eq!(clock.offsets.len(), MAX_OFFSETS);
 }
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -1,8 +1,8 @@
 //! Failover between zones.
 //!
 //! Input: the policy's view of each engine, and the observations of other managers. Output: the weights of
-//! the zones, if they have changed. State: the state machines of `sprucelink_zone_failover`, which decide;
-//! this module only sums the observations by zone.
+//! the zones, if they have changed. State: the state machines of `sprucelink_zone_failover`, which decide on
+//! the weights. This module only sums the observations by zone.
 
 use super::clock::now;
 use super::engine_table::EngineTable;
@@ -19,12 +19,13 @@
 
 /// Time between two checks of the zones.
 const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// Smallest relative change of a weight of which the policy is notified.
+/// The policy is notified if a weight changes by more than this fraction of its last reported value. The same
+/// number is the smallest value to which the fraction is applied.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
-/// Another manager, which observes engines too, as the membership reports it.
+/// Another manager that observes engines, as reported by the membership.
 pub struct Observer {
-    /// Name of the manager's zone.
+    /// Name of the manager's zone; a name that is not configured here belongs to no zone.
     pub zone: String,
     /// Whether the membership considers the manager alive.
     pub is_alive: bool,
@@ -41,12 +42,13 @@
     observers: Vec<Observer>,
     failure_detector: FailureDetector,
     next_check: Timestamp,
-    /// Weights of which the policy was last notified, by zone index.
+    /// Weights of which the policy was last notified, by zone index; empty before the first notification.
     reported_weights: Vec<f64>,
 }
 
 impl ZoneRouting {
-    /// Creates the failover as configured. `home`: the index of this manager's zone.
+    /// Creates the failover as configured. `home`: the index of this manager's zone in `zones`; `None` if the
+    /// zone is not configured.
     pub(super) fn new(config: &FailoverConfig, home: Option<u32>, zones: Vec<String>) -> ZoneRouting {
         let home = home.map(|zone| Locality { zone, region: config.region(&zones, zone as usize) });
         ZoneRouting {
@@ -65,12 +67,13 @@
         self.next_check
     }
 
-    /// Replaces the observations of other managers.
+    /// Replaces the other managers and their observations.
     pub(super) fn set_observers(&mut self, observers: Vec<Observer>) {
         self.observers = observers;
     }
 
-    /// Evaluates the zones; returns their weights if they have changed.
+    /// Evaluates the zones; returns their weights by index if a weight has changed by more than
+    /// [`MIN_WEIGHT_CHANGE`].
     pub(super) fn check(&mut self, engines: &EngineTable, views: Vec<EngineView>) -> Option<Vec<f64>> {
         self.next_check = now() + CHECK_INTERVAL;
         let listed: Vec<EngineView> = views.into_iter().filter(|view| view.listed).collect();
@@ -166,8 +169,9 @@
     engines_by_zone
 }
 
-/// Adds the observations of another manager to the zones. In the manager's own zone, only the manager's
-/// liveness is counted.
+/// Adds the observations of another manager to the zones. In that manager's own zone, only its liveness is
+/// counted. A zone counts as unreachable for the manager if it cannot reach at least half of the zone's
+/// listed engines.
 fn add_observer(
     zones: &mut BTreeMap<u32, ZoneObservation>,
     engines_by_zone: &BTreeMap<u32, BTreeSet<u64>>,
@@ -189,7 +193,8 @@
     }
 }
 
-/// The hashes of the ids of listed engines that do not answer this manager.
+/// The hashes of the ids of listed engines that do not answer this manager now or are suspected by the
+/// failure detector.
 pub(super) fn unresponsive_engines(
     routing: Option<&ZoneRouting>,
     engines: &EngineTable,
@@ -211,7 +216,7 @@
     current_responsiveness(now(), &contact_with(engines, view)) == Responsiveness::Unresponsive
 }
 
-/// The contact state of an engine, for the failure detector.
+/// This manager's observations of the responses of an engine, for the failure detector.
 fn contact_with(engines: &EngineTable, view: &EngineView) -> EngineContact {
     EngineContact {
         engine: view.engine,
