--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -8,7 +8,6 @@
     Target, TimeDelta, Timestamp, TOMBSTONE_RETENTION,
 };
 
-/// Microseconds per second.
 const MICROS_PER_SEC: i64 = 1_000_000;
 const NOW: Timestamp = Timestamp::from_micros(1_700_000_000 * MICROS_PER_SEC);
 
--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -154,7 +154,7 @@
     }
 }
 
-fn request(permit: u8, lease_expires_at: i64) -> CordonRequest {
+fn cordon_request(permit: u8, lease_expires_at: i64) -> CordonRequest {
     let lease_expires_at = Timestamp::from_micros(lease_expires_at);
     match cause(permit) {
         Cause::Operator => CordonRequest::Operator,
@@ -162,7 +162,11 @@
     }
 }
 
-fn assert_same(real: &CordonState, model: &ReferenceModel, step: &Step) -> Result<(), TestCaseError> {
+fn assert_matches_model(
+    real: &CordonState,
+    model: &ReferenceModel,
+    step: &Step,
+) -> Result<(), TestCaseError> {
     prop_assert_eq!(real.manager_state(), model.manager_state());
     for index in 1..6_u8 {
         let id = format!("s-{index}");
@@ -203,7 +207,7 @@
                 Step::Cordon(index, permit, lease) => {
                     let lease = i64::from(*lease) * TICK;
                     let expected = model.cordon(*index, *permit, now, lease);
-                    let request = request(*permit, now + lease);
+                    let request = cordon_request(*permit, now + lease);
                     prop_assert_eq!(real.cordon(timestamp, &target(*index), request, "why"), expected);
                 }
                 Step::Uncordon(index, permit) => {
@@ -236,7 +240,7 @@
                 }
             }
             model.update_manager(now);
-            assert_same(&real, &model, &step)?;
+            assert_matches_model(&real, &model, &step)?;
         }
     }
 }
--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -6,7 +6,7 @@
 //! the limit by `increase` (with 1 it doubles about once per round trip, as TCP slow start does, RFC 5681
 //! section 3.1), and each attempt that an engine rejects as full or fails multiplies it by `decrease_factor`
 //! (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit reaches `max_limit`: from then
-//! on the decision module alone admits and rejects.
+//! on the policy alone admits and rejects.
 //!
 //! A request over the limit is rejected at once with a Retry-After: the time in which the pending requests
 //! complete at the mean latency so far, with a jitter of plus or minus half so that clients rejected together
@@ -32,7 +32,7 @@
 /// whether conditions improve.
 const MIN_LIMIT: f64 = 1.0;
 /// Distinguishes this generator from others that are seeded with the manager's seed.
-const RNG_STREAM: u64 = 0xad31_5510;
+const SEED_SALT: u64 = 0xad31_5510;
 
 /// Settings of admission during warm-up.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -100,7 +100,7 @@
     pub fn new(config: AdmissionConfig, seed: u64, now: Timestamp) -> WarmupAdmission {
         WarmupAdmission {
             warmup_ends_at: now + from_millis(config.warmup_ms),
-            rng: ChaCha8Rng::seed_from_u64(seed ^ RNG_STREAM),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT),
             limit: config.initial_limit,
             mean_latency: INITIAL_LATENCY.as_secs_f64(),
             finished: config.warmup_ms <= 0.0,
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -108,7 +108,7 @@
         is_complete: bool,
         entries: &[(&str, EndpointState)],
     ) -> ListDecision {
-        let selection = CautiousSelection::new(entries);
+        let selection = MostCautiousEntries::new(entries);
         let is_stale = self.is_stale(now, revision, is_complete);
         if !is_stale {
             self.revision = revision;
@@ -169,15 +169,15 @@
 
 /// The entry with the most cautious state for each engine of an event.
 #[derive(Debug, Default)]
-struct CautiousSelection<'a> {
+struct MostCautiousEntries<'a> {
     by_engine: BTreeMap<&'a str, SelectedEntry>,
     /// Number of entries that contradict an earlier entry of the same engine.
     contradictions: usize,
 }
 
-impl<'a> CautiousSelection<'a> {
-    fn new(entries: &[(&'a str, EndpointState)]) -> CautiousSelection<'a> {
-        let mut selection = CautiousSelection::default();
+impl<'a> MostCautiousEntries<'a> {
+    fn new(entries: &[(&'a str, EndpointState)]) -> MostCautiousEntries<'a> {
+        let mut selection = MostCautiousEntries::default();
         for (index, (id, state)) in entries.iter().enumerate() {
             let entry = SelectedEntry { index, state: *state };
             let selected = selection.by_engine.entry(id).or_insert(entry);
--- a/crates/startup/src/endpoint_list_guard/tests.rs
+++ b/crates/startup/src/endpoint_list_guard/tests.rs
@@ -4,7 +4,6 @@
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// Microseconds per second.
 const MICROS_PER_SEC: i64 = 1_000_000;
 
 fn at_micros(micros: i64) -> Timestamp {
--- a/crates/startup/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -1,6 +1,6 @@
 //! Ramp of a starting manager's first load on cold engines.
 //!
-//! The decision module gives each manager an equal share of the load that a cold engine can take (the
+//! The policy gives each manager an equal share of the load that a cold engine can take (the
 //! engine's budget divided by the configured number of managers). A manager that has just started gets half
 //! of its share during one span, since it does not remember what it sent before its restart. If most of a
 //! fleet starts at once, all managers take that step in the same second. With this ramp the share rises
@@ -19,14 +19,14 @@
 /// its slope would otherwise be a division by zero.
 const MIN_RISE: f64 = 1e-9;
 
-/// Settings of the ramp, which the decision module applies (`Settings::restart_ramp`).
+/// Settings of the ramp, which the policy applies (`Settings::restart_ramp`).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FirstLoadConfig {
     /// Fraction of its share that this manager may use at the start; 0.01 to 1.
     #[serde(rename = "from")]
     pub initial_fraction: f64,
-    /// Time until the fraction is 1, in milliseconds; 0 (off: the decision module's own step) to 120,000.
+    /// Time until the fraction is 1, in milliseconds; 0 (off: the policy's own step) to 120,000.
     #[serde(rename = "over_ms")]
     pub ramp_ms: f64,
 }
@@ -47,7 +47,7 @@
         check_range("over_ms", self.ramp_ms, 0.0, 120_000.0)
     }
 
-    /// The ramp as the decision module takes it: the initial fraction, and the seconds in which the fraction
+    /// The ramp as the policy takes it: the initial fraction, and the seconds in which the fraction
     /// would rise by one; `None` if the ramp is off.
     pub fn ramp(&self) -> Option<(f64, f64)> {
         if self.ramp_ms <= 0.0 {
--- a/crates/startup/tests/dial_pacer.rs
+++ b/crates/startup/tests/dial_pacer.rs
@@ -3,7 +3,6 @@
 use sprucelink_startup::dial_pacer::{DialPacer, DialPacerConfig};
 use sprucelink_startup::{TimeDelta, Timestamp};
 
-/// Microseconds per millisecond.
 const MICROS_PER_MILLI: i64 = 1_000;
 
 #[test]
--- a/crates/startup/tests/endpoint_poller.rs
+++ b/crates/startup/tests/endpoint_poller.rs
@@ -4,7 +4,6 @@
 use sprucelink_startup::endpoint_poller::{EndpointPoller, EndpointPollerConfig, PollOutcome};
 use sprucelink_startup::{TimeDelta, Timestamp};
 
-/// Microseconds per second.
 const MICROS_PER_SEC: i64 = 1_000_000;
 
 #[test]
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn delay_after_a_failure_or_an_answer_stays_within_the_drain_bound_at_any_rate() {
+fn delay_after_a_failure_or_an_answer_is_at_most_250_ms_at_any_rate() {
     // A rate of one poll per second for a fleet of 1,000: a manager's share is one poll per 1,000 s.
     let config = EndpointPollerConfig { fleet_rate: 1.0, ..EndpointPollerConfig::default() };
     let mut poller = EndpointPoller::new(config, 1_000, 9, Timestamp::ZERO);
@@ -62,7 +61,7 @@
 }
 
 #[test]
-fn token_bucket_limits_the_fleet_to_its_rate_where_the_drain_bound_allows_it() {
+fn token_bucket_limits_the_fleet_to_its_rate_where_the_maximum_delay_allows_it() {
     // 10 managers at 50 polls per second: each may poll 5 times per second. The feed ends each answer at
     // once.
     let config = EndpointPollerConfig { fleet_rate: 50.0, burst: 1.0, ..EndpointPollerConfig::default() };
--- a/crates/startup/tests/readiness.rs
+++ b/crates/startup/tests/readiness.rs
@@ -3,7 +3,6 @@
 use sprucelink_startup::readiness::{BecameReady, Readiness, ReadinessConfig};
 use sprucelink_startup::{TimeDelta, Timestamp};
 
-/// Microseconds per second.
 const MICROS_PER_SEC: i64 = 1_000_000;
 
 fn new_readiness() -> Readiness {
--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -4,18 +4,18 @@
 use sprucelink_settings::{check_range, InvalidField, SettingsFile, Violation};
 use std::collections::BTreeMap;
 
-/// Largest number of zones that all regions together may name.
+/// Largest number of zones that the settings may name in all regions together.
 const MAX_ZONES_IN_REGIONS: usize = 64;
 
 /// Settings of the failover, and the zones of each region.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailoverConfig {
-    /// Whether requests are weighted by zone.
+    /// Whether failover is on; if off, zones do not affect the selection of engines.
     pub enabled: bool,
-    /// Overprovisioning factor (Envoy's default: 1.4); 1 to 10. A zone can serve all its requests while its
-    /// healthy cores times this factor reach its known cores, and its load is at most its healthy cores
-    /// divided by this factor.
+    /// Overprovisioning factor (Envoy's default: 1.4); 1 to 10. A zone counts as able to serve all its
+    /// requests while its healthy cores times this factor are at least its known cores, and its load in
+    /// threads is at most its healthy cores divided by this factor.
     #[serde(rename = "overprovision")]
     pub overprovisioning_factor: f64,
     /// While less than this fraction of all known cores is healthy, the states of zones are ignored (Envoy's
@@ -33,28 +33,30 @@
     /// manager's own observations eject their zone; 0.5 to 1.
     #[serde(rename = "mute_share")]
     pub min_unresponsive_fraction: f64,
-    /// Smallest number of managers outside a zone that must report on it for their quorum to decide; 1 to
-    /// 10,000.
+    /// Smallest number of managers outside a zone that must report on the zone for their quorum to decide,
+    /// this manager not counted; 1 to 10,000.
     #[serde(rename = "quorum_least")]
     pub min_observers: u32,
-    /// Fraction of the reporting managers that must find the zone unreachable; 0.5 to 1.
+    /// Smallest fraction of the reporting managers that must find a zone unreachable for it to be ejected;
+    /// 0.5 to 1.
     #[serde(rename = "quorum")]
     pub quorum_fraction: f64,
-    /// How long evidence must persist until a zone is ejected, in milliseconds; 0 to 60,000.
+    /// Time for which evidence must persist until a zone is ejected, in milliseconds; 0 to 60,000.
     #[serde(rename = "hold_ms")]
     pub eject_after_ms: f64,
-    /// How long evidence must be absent until a zone recovers, in milliseconds; 0 to 600,000. Each ejection
-    /// soon after a recovery doubles this time, up to `max_recover_after_ms`.
+    /// Time for which evidence must be absent until a zone begins to recover, in milliseconds; 0 to 600,000.
+    /// Each ejection soon after a recovery doubles this time, up to `max_recover_after_ms`.
     #[serde(rename = "back_ms")]
     pub recover_after_ms: f64,
-    /// Longest time for which evidence must be absent until a zone recovers, in milliseconds;
+    /// Longest time for which evidence must be absent until a zone begins to recover, in milliseconds;
     /// `recover_after_ms` to 3,600,000.
     #[serde(rename = "back_most_ms")]
     pub max_recover_after_ms: f64,
     /// Time over which a recovering zone's capacity rises linearly to its full value, in milliseconds; 0 to
     /// 600,000.
     pub ramp_ms: f64,
-    /// Smallest weight of a zone, so that requests that no other zone can take may still go to it; 1e-6 to 1.
+    /// Smallest weight of a zone, relative to the largest weight of 1, so that requests that no other zone
+    /// can take may still go to the zone; 1e-6 to 1.
     #[serde(rename = "least_weight")]
     pub min_weight: f64,
     /// Names of the zones in each region, by the region's name. A zone that no region names is a region of
@@ -118,8 +120,8 @@
         }
     }
 
-    /// The index of the region of a zone, given by its index in `zone_names`. Zones of one region share it; a
-    /// zone that no region names has a region index of its own.
+    /// The index of the region to which a zone belongs; `zone` is the zone's index in `zone_names`. All zones
+    /// of a region have the same region index, and a zone that no region names has a region index of its own.
     pub fn region(&self, zone_names: &[String], zone: usize) -> u32 {
         let name = zone_names.get(zone);
         let region = self.regions.values().position(|zones| name.is_some_and(|name| zones.contains(name)));
--- a/crates/zone-failover/src/event.rs
+++ b/crates/zone-failover/src/event.rs
@@ -1,4 +1,4 @@
-//! Changes of the failover's state, as they are logged.
+//! Changes of the failover's state, and their log texts.
 
 use crate::zone_health::HealthChange;
 
@@ -22,16 +22,17 @@
         /// Index of the zone.
         zone: u32,
     },
-    /// Too few of all zones' cores are healthy: the states of zones are ignored from now on.
+    /// Too few of all zones' cores are healthy: panic mode began, in which the states of zones are ignored.
     PanicEntered(Capacity),
-    /// Enough cores are healthy again: the states of zones count again.
+    /// Enough cores are healthy again, or this manager's zone became isolated: panic mode ended.
     PanicLeft(Capacity),
 }
 
 /// Sums of cores over all zones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Healthy, warm cores; those of zones that are ejected or recovering count only in part.
+    /// Healthy, warm cores. The cores of an ejected zone do not count, and those of a recovering zone count
+    /// in part.
     pub healthy_cores: f64,
     /// Known cores: for each zone, the maximum that was listed recently.
     pub known_cores: f64,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The event as log text. `zone_name` returns the name of the zone at an index; a zone without one is
+    /// The event as log text. `zone_name` returns the name of the zone at an index; a zone without a name is
     /// given by its index.
     pub fn describe<'a>(&self, zone_name: impl Fn(u32) -> Option<&'a str>) -> String {
         let name = |zone: &u32| zone_name(*zone).map_or_else(|| zone.to_string(), str::to_owned);
--- a/crates/zone-failover/src/failure_detector.rs
+++ b/crates/zone-failover/src/failure_detector.rs
@@ -1,15 +1,15 @@
 //! Detects engines that do not respond to this manager, and remembers them as suspected for a limited time.
 //!
-//! An attempt that gets no response is cancelled, and with it goes the only evidence that its engine is
-//! unresponsive. If that evidence were discarded each time, the state of a completely unresponsive zone would
+//! An attempt that gets no response is cancelled, and is then no longer evidence that its engine is
+//! unresponsive. If the evidence were discarded each time, the state of a completely unresponsive zone would
 //! look unknown. So an engine counts as unresponsive until any engine of its zone responds, for 30 s at most.
 
 use crate::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// An engine that responded within this span is responsive.
+/// An engine that responded within this time is responsive.
 const RESPONSIVE_WITHIN: TimeDelta = TimeDelta::from_secs(2);
-/// An engine with overdue attempts that has not responded for this span is unresponsive.
+/// An engine with overdue attempts that has not responded for this time is unresponsive.
 const UNRESPONSIVE_AFTER: TimeDelta = TimeDelta::from_millis(300);
 /// Longest time for which an engine is remembered as unresponsive.
 const MAX_SUSPICION_AGE: TimeDelta = TimeDelta::from_secs(30);
@@ -23,9 +23,9 @@
     pub zone: u32,
     /// Time at which the engine last sent anything; `None` if it never did.
     pub last_response_at: Option<Timestamp>,
-    /// The engine accepts work but never responds, or no connection to it can be established.
+    /// Whether the engine accepts work but never responds, or no connection to it can be established.
     pub is_silent: bool,
-    /// Attempts on the engine are overdue.
+    /// Whether attempts at the engine are overdue.
     pub has_overdue_attempts: bool,
 }
 
@@ -54,21 +54,25 @@
     }
 }
 
-/// An engine that was found unresponsive.
+/// The suspicion that an engine is unresponsive.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
+    /// Index of the engine's zone.
     zone: u32,
+    /// Time at which the engine was found unresponsive.
     since: Timestamp,
 }
 
-/// Remembers unresponsive engines, with at most one entry per engine.
+/// Remembers the engines that were found unresponsive.
 #[derive(Clone, Debug, Default)]
 pub struct FailureDetector {
+    /// At most one suspicion of each engine, by the engine's index.
     suspected: BTreeMap<u32, Suspicion>,
 }
 
 impl FailureDetector {
-    /// Whether an engine is remembered as unresponsive.
+    /// Whether the engine with this index was found unresponsive and no engine of its zone has responded
+    /// since; false after 30 s.
     pub fn is_suspected(&self, engine: u32) -> bool {
         self.suspected.contains_key(&engine)
     }
@@ -80,7 +84,8 @@
         contacts.iter().map(|contact| self.update_engine(now, contact)).collect()
     }
 
-    /// Removes suspicions that are too old, and those of zones in which an engine has responded since.
+    /// Removes the suspicions that are too old, and the suspicions of engines in whose zone an engine has
+    /// responded since.
     fn remove_outdated(&mut self, now: Timestamp, contacts: &[EngineContact]) {
         let mut zone_responded_at: BTreeMap<u32, Timestamp> = BTreeMap::new();
         for contact in contacts {
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,12 +1,12 @@
 //! Failover between zones and regions.
 //!
-//! Requests stay in their manager's zone while its healthy capacity covers its load with a margin. Requests
-//! beyond that go to the nearest zones, then to other regions, in proportion to their spare capacity; a zone
-//! that recovers gets its fraction back gradually. Every manager ejects zones by the same rule and with
-//! hysteresis ([`zone_health::ZoneHealth`]): from the endpoint list, which all managers receive; from a
-//! quorum of other managers, where managers exchange observations; else from the manager's own connections
-//! ([`failure_detector::FailureDetector`]). The routing weights follow from the states of the zones
-//! ([`weights`]). [`ZoneFailover`] combines these steps.
+//! Requests stay in their manager's zone while the zone's healthy capacity covers its load with a margin.
+//! Requests beyond that go to the other zones of the region, then to other regions, in proportion to their
+//! spare capacity; a zone that recovers gets its fraction of requests back gradually. Every manager ejects
+//! zones by the same rule and with hysteresis ([`zone_health::ZoneHealth`]), by the evidence of the endpoint
+//! list, which all managers receive; of a quorum of other managers, where managers exchange observations; or
+//! otherwise of the manager's own connections ([`failure_detector::FailureDetector`]). The routing weights
+//! follow from the states of the zones ([`weights`]). [`ZoneFailover`] combines these steps.
 //!
 //! The terms are those of Envoy's locality load balancing: overprovisioning factor, panic threshold,
 //! ejection.
--- a/crates/zone-failover/src/observation.rs
+++ b/crates/zone-failover/src/observation.rs
@@ -1,6 +1,7 @@
-//! A manager's observations of a zone.
+//! The observations of a zone from which a manager decides on its state.
 
-/// Observations of one zone at one instant.
+/// Observations of one zone at one instant: this manager's own observations, and those that other managers
+/// report to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneObservation {
     /// Index of the zone.
@@ -16,16 +17,16 @@
     pub load: f64,
     /// Number of listed engines.
     pub engines: u32,
-    /// Listed engines that do not respond to this manager.
+    /// Number of listed engines that do not respond to this manager.
     pub unresponsive: u32,
-    /// Listed engines that responded to this manager recently.
+    /// Number of listed engines that responded to this manager recently.
     pub responsive: u32,
-    /// Managers outside the zone that report observations of it, not counting this manager.
+    /// Number of managers outside the zone that report observations of it, not counting this manager.
     pub observers: u32,
-    /// Reporting managers that cannot reach most of the zone's engines.
+    /// Number of reporting managers (`observers`) that cannot reach at least half of the zone's engines.
     pub unreachable_for: u32,
-    /// Known managers inside the zone, dead ones included.
+    /// Number of known managers inside the zone, whether alive or dead, not counting this manager.
     pub managers: u32,
-    /// Managers inside the zone that are alive.
+    /// Number of managers inside the zone that are alive, not counting this manager.
     pub live_managers: u32,
 }
--- a/crates/zone-failover/src/weights.rs
+++ b/crates/zone-failover/src/weights.rs
@@ -3,8 +3,8 @@
 use crate::config::FailoverConfig;
 use crate::MAX_ZONES;
 
-/// A fraction of requests up to this counts as zero; also the smallest divisor, so that nothing is divided by
-/// zero.
+/// A fraction of requests up to this value counts as zero. Also the lower bound of divisors, which avoids
+/// divisions by zero.
 const EPSILON: f64 = 1e-9;
 
 /// Distance of a zone from the manager's own zone.
@@ -18,7 +18,7 @@
     OtherRegion,
 }
 
-/// Capacity of a zone, reduced according to its state, and its load.
+/// Capacity of a zone, reduced according to the zone's state, and the zone's load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneCapacity {
     /// Index of the zone.
@@ -30,14 +30,14 @@
     /// Healthy, warm cores: none of them count while the zone is ejected, and a rising fraction while it
     /// recovers.
     pub healthy_cores: f64,
-    /// Load in threads.
+    /// Smoothed load, in threads that run on the zone's engines.
     pub load: f64,
 }
 
 impl ZoneCapacity {
-    /// Fraction of its own requests that the zone can serve, at most 1: the smaller of its healthy cores
-    /// times the overprovisioning factor relative to its known cores, and its healthy cores divided by that
-    /// factor relative to its load.
+    /// Fraction of the requests for the zone that the zone can serve, at most 1: the smaller of its healthy
+    /// cores times the overprovisioning factor, relative to its known cores, and its healthy cores divided by
+    /// the overprovisioning factor, relative to its load.
     fn serviceable_fraction(&self, config: &FailoverConfig) -> f64 {
         if self.known_cores <= 0.0 || self.healthy_cores <= 0.0 {
             return 0.0;
@@ -56,7 +56,7 @@
 
 /// The fraction of requests for each zone, in the order of `zones`: local zones get as much as they can
 /// serve, and the next nearest zones get the rest in proportion to their spare cores. The fractions add up to
-/// 1 if any zone has healthy cores.
+/// 1 if any zone has healthy cores; otherwise all are 0.
 pub fn request_fractions(config: &FailoverConfig, zones: &[ZoneCapacity]) -> Vec<f64> {
     let mut fractions = vec![0.0; zones.len()];
     let mut remaining = 1.0 - assign_local(config, zones, &mut fractions);
@@ -115,8 +115,8 @@
     assigned
 }
 
-/// Assigns the remaining fraction in proportion to healthy cores at any distance, where no zone has spare
-/// cores.
+/// Assigns the fraction that remains after spare cores are used up, in proportion to the healthy cores of all
+/// zones.
 fn assign_by_cores(zones: &[ZoneCapacity], remaining: f64, fractions: &mut [f64]) {
     let healthy: f64 = zones.iter().map(|zone| zone.healthy_cores).sum();
     if healthy <= 0.0 {
@@ -127,9 +127,9 @@
     }
 }
 
-/// Routing weights, indexed by zone. The decision module picks engines by cores, so a zone's weight is its
-/// fraction of requests relative to its healthy cores; the largest weight is 1, and none is below the
-/// configured minimum.
+/// Routing weights, indexed by zone. The policy selects engines by cores, so a zone's weight is its fraction
+/// of requests relative to its healthy cores. The largest weight is 1, and no weight is below the configured
+/// minimum; all weights are 1 if no fraction is above 0.
 pub fn routing_weights(config: &FailoverConfig, zones: &[ZoneCapacity], fractions: &[f64]) -> Vec<f64> {
     let mut weights = equal_weights(zones);
     let per_core: Vec<f64> = zones
@@ -149,7 +149,8 @@
     weights
 }
 
-/// A weight of 1 for each zone index up to the highest, so that the states of zones have no effect.
+/// A weight of 1 for each zone index up to the highest index in `zones`, so that the states of zones have no
+/// effect.
 pub fn equal_weights(zones: &[ZoneCapacity]) -> Vec<f64> {
     let length = zones.iter().map(|zone| zone.zone as usize + 1).max().unwrap_or(0);
     vec![1.0; length.min(MAX_ZONES)]
--- a/crates/zone-failover/src/zone_failover.rs
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -7,9 +7,10 @@
 use crate::{FailoverEvent, Timestamp, ZoneObservation};
 use std::collections::BTreeMap;
 
-/// Largest number of zones tracked; further zones are ignored.
+/// Largest number of zones in one update; further observations are ignored.
 pub const MAX_ZONES: usize = 64;
-/// Smallest number of other zones, all ejected, for which this manager's own zone counts as isolated.
+/// Smallest number of other zones with engines, all of them ejected, for which this manager's own zone counts
+/// as isolated.
 const MIN_OTHER_ZONES: usize = 2;
 
 /// Zone and region in which a manager runs.
@@ -30,18 +31,20 @@
     pub fraction: f64,
 }
 
-/// How a manager routes its requests.
+/// Result of an update: the fractions of a manager's requests for the zones, the weights that yield these
+/// fractions, and the changes of state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingPlan {
     /// Fraction of requests for each zone, in the order of the observations. The fractions add up to 1, or
-    /// are all 0 if no cores are known.
+    /// are all 0 if no cores are healthy and panic mode is off because no cores are known or the panic
+    /// threshold is 0.
     pub fractions: Vec<ZoneFraction>,
-    /// Routing weights, indexed by zone: 1 for the zone with the largest weight, never 0.
+    /// Routing weights, indexed by zone: the largest weight is 1, and no weight is 0.
     pub weights: Vec<f64>,
-    /// Too few of all zones' cores are healthy: the states of zones are ignored, and requests are spread by
-    /// known cores.
+    /// Whether panic mode is on: too few of all zones' cores are healthy, so the states of zones are ignored
+    /// and requests are spread by known cores.
     pub is_panic: bool,
-    /// This manager's own zone is isolated from all others: requests stay in it.
+    /// Whether this manager's own zone is isolated from all other zones, so that requests stay in it.
     pub is_isolated: bool,
     /// Changes of state caused by this update.
     pub events: Vec<FailoverEvent>,
@@ -51,7 +54,8 @@
 #[derive(Clone, Debug)]
 pub struct ZoneFailover {
     config: FailoverConfig,
-    /// `None` if the manager's zone is not configured: all zones then count as equally near.
+    /// Zone and region of this manager; `None` if its zone is not configured, in which case all zones count
+    /// as equally near.
     locality: Option<Locality>,
     zones: BTreeMap<u32, ZoneHealth>,
     is_isolated: bool,
@@ -59,17 +63,19 @@
 }
 
 impl ZoneFailover {
-    /// The failover of a manager that starts now.
+    /// Creates the failover of a manager, with all zones healthy. `locality`: the manager's zone and region;
+    /// `None` if its zone is not configured.
     pub fn new(config: FailoverConfig, locality: Option<Locality>) -> ZoneFailover {
         ZoneFailover { config, locality, zones: BTreeMap::new(), is_isolated: false, is_panic: false }
     }
 
-    /// State of a zone; a zone that is not tracked counts as healthy.
+    /// State of the zone with this index; a zone that is not tracked counts as healthy.
     pub fn zone_state(&self, zone: u32) -> ZoneState {
         self.zones.get(&zone).map_or(ZoneState::Healthy, ZoneHealth::state)
     }
 
-    /// Updates the states of all zones from current observations, and derives the routing plan.
+    /// Updates the states of all zones from the observations at `now`, one for each zone, and derives the
+    /// routing plan. Observations beyond [`MAX_ZONES`] are ignored.
     pub fn update(&mut self, now: Timestamp, observations: &[ZoneObservation]) -> RoutingPlan {
         let observations = &observations[..observations.len().min(MAX_ZONES)];
         let mut events = self.update_zones(now, observations);
@@ -107,8 +113,8 @@
         events
     }
 
-    /// Updates whether this manager's own zone is isolated: all other zones are ejected while its own
-    /// responds, so it is this zone that is isolated, and not all the others that failed.
+    /// Updates whether this manager's own zone is isolated. If all other zones are ejected while the own zone
+    /// responds, the own zone is more likely to be isolated than all other zones to have failed.
     fn update_isolation(&mut self, observations: &[ZoneObservation]) -> Option<FailoverEvent> {
         let zone = self.locality?.zone;
         let own_responds = observations
@@ -126,8 +132,8 @@
         Some(if is_isolated { FailoverEvent::Isolated { zone } } else { FailoverEvent::Rejoined { zone } })
     }
 
-    /// Updates panic mode. An isolated manager finds few healthy cores in other zones, which does not start
-    /// panic mode: its own zone serves its requests.
+    /// Updates panic mode. An isolated manager finds few healthy cores in other zones, but this does not
+    /// start panic mode, because its own zone serves its requests.
     fn update_panic(&mut self, zones: &[ZoneCapacity]) -> Option<FailoverEvent> {
         let known_cores: f64 = zones.iter().map(|zone| zone.known_cores).sum();
         let healthy_cores: f64 = zones.iter().map(|zone| zone.healthy_cores).sum();
--- a/crates/zone-failover/src/zone_health.rs
+++ b/crates/zone-failover/src/zone_health.rs
@@ -1,29 +1,30 @@
 //! Decides, from evidence and with hysteresis, whether a zone is ejected.
 //!
 //! Evidence is ranked, so that managers with the same information come to the same state: first the endpoint
-//! list (most of the zone's cores are gone from it); then, where enough managers outside the zone report on
-//! it, their quorum, which overrules a manager's own connections; else the manager's own connections. A state
-//! changes only when evidence has persisted for a while, and a zone that is ejected again soon after it
-//! recovered must be without evidence for longer each time, as in Envoy's outlier detection.
+//! list, if it no longer names most of the zone's cores; then, if enough managers outside the zone report on
+//! the zone, their quorum, which overrules a manager's own connections; otherwise the manager's own
+//! connections. A state changes only when evidence has persisted or been absent for the configured time. A
+//! zone that is ejected again soon after it began to recover must be without evidence for longer each time,
+//! as in Envoy's outlier detection.
 //!
-//! This module ejects a zone as a whole: it lowers the zone's weight and ejects no engine. The policy has
-//! another rule (`outlier_detection`), which ejects each engine of a zone that this manager cannot reach, at
-//! once and without failover.
+//! This module ejects a zone as a whole: the zone's weight is lowered, and no engine is ejected. The policy
+//! has another rule (`outlier_detection`), which at once ejects each engine of a zone that this manager
+//! cannot reach, and which applies even if failover is off.
 
 use crate::config::FailoverConfig;
 use crate::{TimeDelta, Timestamp, ZoneObservation};
 use std::fmt;
 
-/// A zone's known cores are the maximum that was listed within this span.
+/// A zone's known cores are the maximum that was listed within this time.
 const CAPACITY_MEMORY: TimeDelta = TimeDelta::from_secs(120);
-/// A zone that is ejected within this span after its recovery began is flapping: its next recovery takes
-/// twice as long.
+/// A zone that is ejected within this time after its recovery began is flapping: the time without evidence
+/// that its next recovery requires is doubled.
 const FLAPPING_WITHIN: TimeDelta = TimeDelta::from_secs(60);
-/// Largest number of doublings of the recovery time.
+/// Largest number of doublings of the time without evidence that a recovery requires.
 const MAX_DOUBLINGS: u32 = 16;
 /// Time constant over which a zone's load is smoothed, in seconds.
 const LOAD_SMOOTHING_S: f64 = 3.0;
-/// Fraction of its capacity that counts when a zone begins to recover.
+/// Fraction of a zone's healthy capacity that counts when the zone begins to recover.
 const INITIAL_FRACTION: f64 = 0.1;
 
 /// State of a zone.
@@ -33,7 +34,8 @@
     Healthy,
     /// The zone gets only requests that no other zone can take.
     Ejected,
-    /// The zone is reachable again, and its fraction of requests rises gradually.
+    /// The evidence against the zone was absent for long enough, and its fraction of requests rises
+    /// gradually.
     Recovering,
 }
 
@@ -55,23 +57,23 @@
     Ejected {
         /// Evidence for the ejection.
         evidence: Evidence,
-        /// Known cores of the zone.
+        /// Known cores of the zone: the maximum that was listed recently.
         known_cores: f64,
-        /// Observation of the zone at the change.
+        /// Observation that completed the change.
         observation: ZoneObservation,
     },
     /// The zone began to recover.
     Recovering {
-        /// Known cores of the zone.
+        /// Known cores of the zone: the maximum that was listed recently.
         known_cores: f64,
-        /// Observation of the zone at the change.
+        /// Observation that completed the change.
         observation: ZoneObservation,
     },
     /// The zone has its full fraction of requests again.
     Healthy,
 }
 
-/// The strongest evidence against a zone with this many known cores, if there is any.
+/// The evidence of the highest rank against a zone with `known_cores` known cores; `None` if there is none.
 pub fn find_evidence(
     config: &FailoverConfig,
     known_cores: f64,
@@ -82,12 +84,12 @@
     }
     let is_unresponsive = is_unresponsive(config, observed);
     if observed.observers >= config.min_observers {
-        return has_quorum(config, observed, is_unresponsive).then_some(Evidence::Quorum);
+        return is_unreachable_by_quorum(config, observed, is_unresponsive).then_some(Evidence::Quorum);
     }
     is_unresponsive.then_some(Evidence::OwnConnections)
 }
 
-/// Whether enough of a zone's engines do not respond to this manager.
+/// Whether enough of a zone's engines do not respond to this manager for the zone to be ejected.
 fn is_unresponsive(config: &FailoverConfig, observed: &ZoneObservation) -> bool {
     let unresponsive = f64::from(observed.unresponsive);
     let contacted = unresponsive + f64::from(observed.responsive);
@@ -95,8 +97,13 @@
         && unresponsive >= config.min_unresponsive_fraction * contacted
 }
 
-/// Whether a quorum of managers cannot reach a zone. This manager votes, too, if it has contacted the zone.
-fn has_quorum(config: &FailoverConfig, observed: &ZoneObservation, is_unresponsive: bool) -> bool {
+/// Whether a quorum of managers cannot reach a zone. This manager votes, too, if it has contacted an engine
+/// of the zone.
+fn is_unreachable_by_quorum(
+    config: &FailoverConfig,
+    observed: &ZoneObservation,
+    is_unresponsive: bool,
+) -> bool {
     let has_contact = observed.unresponsive > 0 || observed.responsive > 0;
     let voters = observed.observers + u32::from(has_contact);
     let votes = observed.unreachable_for + u32::from(is_unresponsive);
@@ -111,33 +118,36 @@
     state_since: Timestamp,
     /// Time since which the evidence has contradicted the state; `None` if it does not.
     contradicted_since: Option<Timestamp>,
-    recovered_at: Option<Timestamp>,
-    /// Consecutive ejections that each came soon after a recovery.
+    /// Time at which the last recovery began; `None` if the zone has not recovered yet.
+    recovery_began_at: Option<Timestamp>,
+    /// Number of ejections in a row that each came within [`FLAPPING_WITHIN`] of the start of a recovery.
     flaps: u32,
+    /// Largest number of cores listed within [`CAPACITY_MEMORY`].
     known_cores: f64,
-    known_cores_at: Timestamp,
+    /// Time at which the list last named `known_cores` cores.
+    known_cores_listed_at: Timestamp,
     /// Smoothed load, in threads.
     load: f64,
-    load_at: Option<Timestamp>,
+    load_updated_at: Option<Timestamp>,
 }
 
 impl ZoneHealth {
-    /// The state of a zone that is observed for the first time, with this many cores listed.
+    /// The initial state of a zone, which is healthy. `listed_cores`: the number of cores listed now.
     pub fn new(listed_cores: f64) -> ZoneHealth {
         ZoneHealth {
             state: ZoneState::Healthy,
             state_since: Timestamp::ZERO,
             contradicted_since: None,
-            recovered_at: None,
+            recovery_began_at: None,
             flaps: 0,
             known_cores: listed_cores,
-            known_cores_at: Timestamp::ZERO,
+            known_cores_listed_at: Timestamp::ZERO,
             load: 0.0,
-            load_at: None,
+            load_updated_at: None,
         }
     }
 
-    /// The zone's state.
+    /// The zone's state after the last update.
     pub fn state(&self) -> ZoneState {
         self.state
     }
@@ -152,14 +162,14 @@
         self.load
     }
 
-    /// Whether the zone's listed cores last reached the known cores longer than [`CAPACITY_MEMORY`] ago, so
-    /// that the known cores are outdated; if the zone is no longer observed either, its state can be dropped.
+    /// Whether the known cores are outdated, because the list last named that many cores longer than
+    /// [`CAPACITY_MEMORY`] ago. If the zone is no longer observed either, its state can be dropped.
     pub fn is_expired(&self, now: Timestamp) -> bool {
-        now - self.known_cores_at > CAPACITY_MEMORY
+        now - self.known_cores_listed_at > CAPACITY_MEMORY
     }
 
-    /// The fraction of the zone's healthy capacity that counts: 0 while it is ejected, rising linearly while
-    /// it recovers.
+    /// The fraction of the zone's healthy capacity that counts: 0 while the zone is ejected, rising linearly
+    /// from [`INITIAL_FRACTION`] to 1 while it recovers, and otherwise 1.
     pub fn capacity_fraction(&self, now: Timestamp, config: &FailoverConfig) -> f64 {
         match self.state {
             ZoneState::Healthy => 1.0,
@@ -204,8 +214,8 @@
         evidence.is_some() != is_ejected
     }
 
-    /// Records that the state is contradicted now; returns whether the contradiction has lasted long enough
-    /// to change it.
+    /// Records that the evidence contradicts the state at `now`; returns whether the contradiction has lasted
+    /// long enough for the state to change.
     fn record_contradiction(
         &mut self,
         now: Timestamp,
@@ -223,25 +233,25 @@
     fn update_known_cores(&mut self, now: Timestamp, listed_cores: f64) {
         if listed_cores >= self.known_cores || self.is_expired(now) {
             self.known_cores = listed_cores;
-            self.known_cores_at = now;
+            self.known_cores_listed_at = now;
         }
     }
 
     fn update_load(&mut self, now: Timestamp, load: f64) {
-        let elapsed = self.load_at.map_or(f64::INFINITY, |at| (now - at).as_secs_f64().max(0.0));
+        let elapsed = self.load_updated_at.map_or(f64::INFINITY, |at| (now - at).as_secs_f64().max(0.0));
         let weight = 1.0 - (-elapsed / LOAD_SMOOTHING_S).exp();
         self.load += weight * (load - self.load);
-        self.load_at = Some(now);
+        self.load_updated_at = Some(now);
     }
 
-    /// How long evidence must be absent until the zone recovers.
+    /// Time for which evidence must be absent until the zone begins to recover.
     fn recovery_delay(&self, config: &FailoverConfig) -> TimeDelta {
         let factor = f64::from(2u32.saturating_pow(self.flaps.min(MAX_DOUBLINGS)));
         from_millis((config.recover_after_ms * factor).min(config.max_recover_after_ms))
     }
 
     fn eject(&mut self, now: Timestamp, evidence: Evidence, observed: &ZoneObservation) -> HealthChange {
-        let is_flapping = self.recovered_at.is_some_and(|at| now - at < FLAPPING_WITHIN);
+        let is_flapping = self.recovery_began_at.is_some_and(|at| now - at < FLAPPING_WITHIN);
         self.flaps = if is_flapping { self.flaps + 1 } else { 0 };
         self.state = ZoneState::Ejected;
         HealthChange::Ejected { evidence, known_cores: self.known_cores, observation: *observed }
@@ -249,7 +259,7 @@
 
     fn begin_recovery(&mut self, now: Timestamp, observed: &ZoneObservation) -> HealthChange {
         self.state = ZoneState::Recovering;
-        self.recovered_at = Some(now);
+        self.recovery_began_at = Some(now);
         HealthChange::Recovering { known_cores: self.known_cores, observation: *observed }
     }
 
@@ -308,8 +318,8 @@
     }
 }
 
-/// States, from the liveness of the zone's managers, whether only its engines or the complete zone is
-/// unreachable.
+/// Log text that states, from the liveness of the zone's managers, whether only the zone's engines or the
+/// complete zone is unreachable; empty if no manager of the zone is known.
 fn managers_suffix(observed: &ZoneObservation) -> &'static str {
     match (observed.managers, observed.live_managers) {
         (0, _) => "",
--- a/crates/zone-failover/tests/config.rs
+++ b/crates/zone-failover/tests/config.rs
@@ -1,10 +1,10 @@
-//! The failover settings file.
+//! Tests of the failover settings file.
 
 use sprucelink_settings::SettingsFile;
 use sprucelink_zone_failover::config::FailoverConfig;
 
 #[test]
-fn settings_are_read_and_invalid_ones_are_rejected_by_name() {
+fn valid_settings_are_read_and_invalid_settings_are_rejected_by_name() {
     let text = "{ enabled: true, regions: { north: ['hall-a', 'hall-b'], south: ['hall-c'] } }";
     let config = FailoverConfig::parse(text).expect("valid settings");
     let zones: Vec<String> = ["hall-a", "hall-c", "hall-b", "hall-d"].map(str::to_owned).to_vec();
--- a/crates/zone-failover/tests/failure_detector.rs
+++ b/crates/zone-failover/tests/failure_detector.rs
@@ -29,7 +29,8 @@
     assert_eq!(classify(1_000, silent), Unresponsive);
 }
 
-/// A cancelled attempt is no longer overdue, but its engine still counts as unresponsive.
+/// An unresponsive engine's attempts are cancelled and then no longer overdue, but the engine must still
+/// count as unresponsive.
 #[test]
 fn engine_stays_unresponsive_until_any_engine_of_its_zone_responds() {
     let mut detector = FailureDetector::default();
--- a/crates/zone-failover/tests/weights.rs
+++ b/crates/zone-failover/tests/weights.rs
@@ -12,7 +12,7 @@
 #[test]
 fn load_beyond_the_margin_spills_to_the_same_region_by_spare_cores() {
     let config = FailoverConfig::default();
-    // With the margin, 32 cores take 22.9 of the zone's 40 threads, so 57% of the requests stay.
+    // With the margin of 1.4, 32 cores take 22.9 of the zone's 40 threads, so 57% of the requests stay.
     let zones = [
         capacity(0, Local, 32.0, 40.0),
         capacity(1, SameRegion, 32.0, 10.0),
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -81,8 +81,8 @@
     assert!((fraction(&plan, 2) - 0.5).abs() < 0.01 && (fraction(&plan, 3) - 0.5).abs() < 0.01, "{plan:?}");
 }
 
-/// Single load reports vary widely. A load estimate that swings from half to all of a zone's capacity every
-/// half second moves few requests to other zones.
+/// Single load reports vary widely. A load estimate that changes between 12 and 30 threads on 32 cores every
+/// half second must move few requests to other zones.
 #[test]
 fn oscillating_load_moves_few_requests_to_other_zones() {
     let mut failover = failover_in_zone_0();
@@ -135,7 +135,8 @@
     let mut observations = four_zones();
     observations[0] = unresponsive(&observations[0]);
     run(&mut failover, 1_100, 6_000, &observations);
-    // The zone is back with cold engines: three tenths of its capacity, rising to all of it over 15 s.
+    // The zone returns with cold engines: three tenths of its capacity are healthy, rising to all of its
+    // capacity over 15 s.
     let mut previous = 0.0;
     let mut steps = Vec::new();
     for step in 61..260 {
@@ -196,8 +197,8 @@
     assert_eq!(failover.zone_state(2), ZoneState::Ejected, "the list no longer names any engine of the zone");
 }
 
-/// One manager cannot reach a zone. While the other managers report that they reach it, its own observation
-/// changes no state; once most of them report the same, the zone is ejected.
+/// One manager cannot reach a zone. While the other managers report that they reach the zone, this manager's
+/// own observation changes no state; once most of them cannot reach the zone either, it is ejected.
 #[test]
 fn false_alarm_of_one_manager_is_outvoted_by_other_managers() {
     let mut failover = failover_in_zone_0();
@@ -218,8 +219,8 @@
     assert_eq!(failover.zone_state(1), ZoneState::Ejected);
 }
 
-/// To a manager inside an isolated zone, all other zones are unresponsive and its own responds: requests stay
-/// in it, and the failures of the other zones start no panic mode.
+/// To a manager inside an isolated zone, all other zones are unresponsive while its own zone responds.
+/// Requests stay in the own zone, and the failures of the other zones do not start panic mode.
 #[test]
 fn isolated_zone_keeps_its_requests() {
     let mut failover = failover_in_zone_0();
@@ -232,8 +233,8 @@
     assert_eq!(fraction(&plan, 0), 1.0);
 }
 
-/// A zone whose managers are alive but whose engines no manager reaches has lost its engines; a zone whose
-/// managers are not alive either is isolated or dead.
+/// If no manager reaches the engines of a zone but the zone's managers are alive, the zone has lost its
+/// engines; if the zone's managers are not alive either, the zone is isolated or dead.
 #[test]
 fn event_states_whether_the_managers_of_an_ejected_zone_are_alive() {
     for (live_managers, expected) in [(5, "its managers are alive"), (0, "its managers are silent, too")] {
