--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -1,16 +1,17 @@
 //! Admission control during warm-up: limits the pending requests of a manager that has just started.
 //!
-//! A manager that starts knows neither the speed of engines nor the cost of classes. How many requests it
-//! admits at once depends on initial estimates, and hundreds of managers that start together make the same
-//! estimates. So a starting manager has at most `initial_limit` requests pending. Each request served raises
-//! the limit by `increase` (with 1 it doubles about once per round trip, as TCP slow start does, RFC 5681
-//! section 3.1), and each attempt that an engine rejects as full or fails multiplies it by `decrease_factor`
-//! (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit reaches `max_limit`: from then
-//! on the policy alone admits and rejects.
+//! A manager that starts knows neither the speed of engines nor the cost of classes. The number of requests
+//! that it admits at once depends on initial estimates, and hundreds of managers that start together make the
+//! same estimates. So a starting manager has at most `initial_limit` requests pending. Each request served
+//! raises the limit by `increase` (with an increase of 1 the limit doubles about once per round trip, as in
+//! TCP slow start, RFC 5681 section 3.1). Each attempt that an engine rejects as full, or fails, multiplies
+//! the limit by `decrease_factor` (multiplicative decrease). Warm-up ends after `warmup_ms` or when the limit
+//! reaches `max_limit`: from then on only the policy admits and rejects requests.
 //!
 //! A request over the limit is rejected at once with a Retry-After: the time in which the pending requests
-//! complete at the mean latency so far, with a jitter of plus or minus half so that clients rejected together
-//! do not return together.
+//! complete at the mean latency so far (the mean latency times the pending requests divided by the limit),
+//! within [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`]. A jitter of plus or minus half prevents clients that
+//! were rejected together from returning together.
 
 use crate::{from_millis, TimeDelta, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -26,12 +27,14 @@
 /// conditions. The core applies its own bound of the same length to all rejections and failures
 /// (`MIN_RETRY_AFTER` in its `request` module).
 pub const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
-/// Longest Retry-After of a rejection during warm-up: after this time, warm-up has progressed.
+/// Longest Retry-After of a rejection during warm-up: after this time, warm-up has progressed and the limit
+/// is probably higher.
 pub const MAX_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(2);
-/// The limit on pending requests never falls below this: at least one pending request is needed to see
+/// Lower bound of the limit on pending requests: without a pending request, the manager could not find out
 /// whether conditions improve.
 const MIN_LIMIT: f64 = 1.0;
-/// Distinguishes this generator from others that are seeded with the manager's seed.
+/// XORed with the manager's seed, so that this generator's numbers differ from those of the other generators
+/// with the same seed.
 const SEED_SALT: u64 = 0xad31_5510;
 
 /// Settings of admission during warm-up.
@@ -51,7 +54,7 @@
     /// Longest warm-up after the start, in milliseconds; 0 (off) to 120,000.
     #[serde(rename = "warm_ms")]
     pub warmup_ms: f64,
-    /// Limit at which warm-up ends; `first` to 100,000.
+    /// Limit on pending requests at which warm-up ends; `initial_limit` to 100,000.
     #[serde(rename = "open_at")]
     pub max_limit: f64,
 }
@@ -88,15 +91,19 @@
     config: AdmissionConfig,
     rng: ChaCha8Rng,
     warmup_ends_at: Timestamp,
+    /// Current limit on pending requests.
     limit: f64,
-    /// Mean latency in seconds.
+    /// Exponentially weighted mean latency of served requests, in seconds.
     mean_latency: f64,
+    /// Whether warm-up is over.
     finished: bool,
+    /// Number of requests rejected since the start.
     rejected: u64,
 }
 
 impl WarmupAdmission {
-    /// Admission control of a manager that starts now; `seed` seeds the jitter of Retry-After.
+    /// Creates the admission control of a manager that starts at `now`; `seed` seeds the jitter of
+    /// Retry-After.
     pub fn new(config: AdmissionConfig, seed: u64, now: Timestamp) -> WarmupAdmission {
         WarmupAdmission {
             warmup_ends_at: now + from_millis(config.warmup_ms),
@@ -124,14 +131,14 @@
         Err(TimeDelta::from_secs_f64(seconds).max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER))
     }
 
-    /// Records that a request was served `latency` after its arrival.
+    /// Records that a request was served `latency` after its arrival, which raises the limit.
     pub fn record_served(&mut self, latency: TimeDelta) {
         self.mean_latency += LATENCY_WEIGHT * (latency.as_secs_f64().max(0.0) - self.mean_latency);
         self.limit = (self.limit + self.config.increase).min(self.config.max_limit);
         self.finished |= self.limit >= self.config.max_limit;
     }
 
-    /// Records that an engine rejected an attempt as full, or failed it.
+    /// Records that an engine rejected an attempt as full or failed it, which lowers the limit.
     pub fn record_engine_failure(&mut self) {
         self.limit = (self.limit * self.config.decrease_factor).max(MIN_LIMIT);
     }
@@ -141,12 +148,12 @@
         self.finished
     }
 
-    /// Requests rejected since the start.
+    /// Number of requests rejected since the start.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Current limit on pending requests.
+    /// Current limit on pending requests, at least 1; it has no effect after warm-up.
     pub fn limit(&self) -> f64 {
         self.limit
     }
--- a/crates/startup/src/backoff.rs
+++ b/crates/startup/src/backoff.rs
@@ -9,16 +9,16 @@
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// Shortest delay after jitter, in milliseconds.
+/// Lower bound of a delay after jitter, in milliseconds.
 const MIN_DELAY_MS: f64 = 1.0;
 
-/// Settings of a backoff.
+/// Settings of an exponential backoff: first and longest delay, growth and jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackoffConfig {
-    /// First delay, in milliseconds (gRPC: 1,000); 1 to 3,600,000.
+    /// Delay after the first failure, before jitter, in milliseconds (gRPC: 1,000); 1 to 3,600,000.
     pub initial_ms: f64,
-    /// Factor from each delay to the next (gRPC: 1.6); 1 to 10.
+    /// Factor by which the delay grows with each failure in a row (gRPC: 1.6); 1 to 10.
     pub multiplier: f64,
     /// Each delay is spread uniformly by plus or minus this fraction (gRPC: 0.2); 0 to 1.
     pub jitter: f64,
@@ -43,27 +43,28 @@
     }
 }
 
-/// State of a backoff.
+/// An exponential backoff with the number of failures in a row.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     config: BackoffConfig,
     /// Delay after the next failure, before jitter, in milliseconds.
     next_delay_ms: f64,
+    /// Number of failures since the last success.
     failures: u32,
 }
 
 impl Backoff {
-    /// A backoff without failures.
+    /// Creates a backoff without failures.
     pub fn new(config: BackoffConfig) -> Backoff {
         Backoff { config, next_delay_ms: config.initial_ms, failures: 0 }
     }
 
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Records a failure; returns the delay before the next attempt, jittered, at least a millisecond.
+    /// Records a failure; returns the jittered delay before the next attempt, at least one millisecond.
     pub fn record_failure(&mut self, rng: &mut ChaCha8Rng) -> TimeDelta {
         let jitter = self.config.jitter;
         let spread = if jitter > 0.0 { rng.gen_range(-jitter..=jitter) } else { 0.0 };
@@ -73,7 +74,7 @@
         TimeDelta::from_micros((delay_ms * 1_000.0) as i64)
     }
 
-    /// Records a success: the next failure starts from the first delay again.
+    /// Records a success: the delay after the next failure is the first delay again.
     pub fn reset(&mut self) {
         self.next_delay_ms = self.config.initial_ms;
         self.failures = 0;
--- a/crates/startup/src/config.rs
+++ b/crates/startup/src/config.rs
@@ -17,17 +17,17 @@
 pub struct StartupConfig {
     /// Whether start-up control is on.
     pub enabled: bool,
-    /// Polls of the endpoint list.
+    /// Schedule of the polls of the endpoint list.
     #[serde(rename = "lists")]
     pub endpoint_poller: EndpointPollerConfig,
     /// Pacing of new connections to engines.
     #[serde(rename = "dials")]
     pub dial_pacer: DialPacerConfig,
-    /// Ramp of the first load on cold engines.
+    /// Ramp of the load that this manager puts on engines in slow start after its own start.
     pub first_load: FirstLoadConfig,
     /// Admission of requests during warm-up.
     pub admission: AdmissionConfig,
-    /// Treatment of endpoint lists that are older than the current one.
+    /// Treatment of endpoint lists that are older than the current list.
     #[serde(rename = "held")]
     pub endpoint_list_guard: EndpointListGuardConfig,
     /// Conditions for the manager to report that it is ready.
--- a/crates/startup/src/dial_pacer.rs
+++ b/crates/startup/src/dial_pacer.rs
@@ -1,11 +1,12 @@
 //! Paces a manager's new connections to engines.
 //!
 //! Managers that start together (a release, a crash of most of the fleet) would dial their engines in the
-//! same milliseconds, and an engine's accept queue and session table must take them all at once. So during a
-//! manager's warm-up each new connection waits for its slot: a point in a window of `window_ms`, given by a
-//! hash of the manager's name and the engine's id. The dials of all managers to one engine then spread evenly
-//! over the window, and so do the dials of one manager to its engines. At all times a rate limit applies to
-//! new connections; a dial never waits longer than one window and one interval of the rate limit.
+//! same milliseconds, and would fill an engine's accept queue and session table at once. So during a
+//! manager's warm-up each new connection waits for its slot: a point in a recurring window of `window_ms`,
+//! given by a hash of the manager's name and the engine's id. The dials of all managers to one engine then
+//! spread evenly over the window, and so do the dials of one manager to its engines. In addition, new
+//! connections are rate limited at all times. As long as dials are requested no faster than the rate, no dial
+//! waits longer than one window and one interval of the rate limit.
 
 use crate::{from_millis, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -19,12 +20,13 @@
     /// Window over which the dials during warm-up are spread, in milliseconds; 0 (off) to 500.
     #[serde(rename = "stage_ms")]
     pub window_ms: f64,
-    /// Time after the start during which dials wait for their slots, in milliseconds; 0 to 120,000.
+    /// Time after the manager's start during which dials wait for their slots, in milliseconds; 0 to 120,000.
     #[serde(rename = "warm_ms")]
     pub warmup_ms: f64,
     /// New connections per second that one manager may open after its burst is used up; 1 to 10,000.
     pub rate: f64,
-    /// New connections that one manager may open in a row without waiting for the rate; 1 to 1,000.
+    /// Number of new connections that one manager may open in a row without waiting for the rate limit; 1 to
+    /// 1,000.
     pub burst: f64,
 }
 
@@ -56,11 +58,13 @@
     /// Theoretical arrival time of the generic cell rate algorithm (ITU-T I.371), which represents the token
     /// bucket by a single timestamp.
     theoretical_arrival: Timestamp,
+    /// Number of dials that had to wait for their slot.
     delayed_dials: u64,
 }
 
 impl DialPacer {
-    /// Paces the dials of the manager called `name`, which starts now.
+    /// Creates the pacer of a manager that starts at `now`. `name`: the manager's configured name, which
+    /// determines its slots.
     pub fn new(config: DialPacerConfig, name: &str, now: Timestamp) -> DialPacer {
         DialPacer {
             config,
@@ -71,16 +75,17 @@
         }
     }
 
-    /// Position of this manager's slot for `engine` in the window, as a fraction of the window, from 0 to
-    /// below 1.
+    /// Position of this manager's slot for the engine with id `engine`, as a fraction of the window, from 0
+    /// to below 1.
     pub fn slot_fraction(&self, engine: &str) -> f64 {
         unit_interval(stable_hash(&[&self.manager_name, engine.as_bytes()]))
     }
 
-    /// Reserves a dial to `engine` that is requested now, and returns the time at which it may start.
+    /// Reserves a dial to the engine with id `engine` that is requested at `now`; returns the time from which
+    /// the dial may start.
     ///
-    /// As long as dials are requested no faster than the rate, that time is `now`, or later by at most one
-    /// window and one interval of the rate.
+    /// As long as dials are requested no faster than the rate, the dial may start at most one window and one
+    /// interval of the rate after `now`.
     pub fn reserve_dial(&mut self, now: Timestamp, engine: &str) -> Timestamp {
         let slot = self.next_slot(now, engine);
         self.delayed_dials += u64::from(slot > now);
@@ -91,8 +96,8 @@
         dial_at
     }
 
-    /// The first occurrence of the engine's slot at or after `now`; `now` itself after warm-up or without a
-    /// window.
+    /// The first occurrence of the engine's slot at or after `now`; `now` itself if warm-up is over or the
+    /// window is 0.
     fn next_slot(&self, now: Timestamp, engine: &str) -> Timestamp {
         let window = from_millis(self.config.window_ms);
         let is_warming_up = now - self.started_at < from_millis(self.config.warmup_ms);
@@ -108,7 +113,8 @@
         first_slot + TimeDelta::from_micros(elapsed_windows * window_micros)
     }
 
-    /// Dials since the start that had to wait for their slot.
+    /// Number of dials since the start that had to wait for their slot; waits for the rate limit do not
+    /// count.
     pub fn delayed_dials(&self) -> u64 {
         self.delayed_dials
     }
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -1,20 +1,20 @@
 //! Decides which changes of a new endpoint list are applied to the current one.
 //!
-//! While a list service recovers (from a backup, or as one of several replicas that lag) it may send a list
-//! that is older than the current one, or that contradicts itself. Applied unchecked, such a list brings back
-//! engines that are gone and removes those that were added since: hundreds of managers would dial dead
-//! engines and drop live ones in the same second. The rules are safe whether the new or the current list is
-//! right:
+//! While the control feed recovers (from a backup, or because a replica lags) it may send a list that is
+//! older than the current list, or that contradicts itself. If such a list were applied unchecked, it would
+//! restore engines that are gone and remove engines that were added since: hundreds of managers would dial
+//! dead engines and drop live engines in the same second. The rules are safe whether the new or the current
+//! list is right:
 //!
-//! - an event whose revision is below that of the current list is *stale*. A drain or removal in it is
-//!   applied at once (a needless drain costs capacity, a missed one breaks a rule), an engine that it lists
-//!   as ready is ignored, and an engine that it does not list stays;
-//! - if one event lists an engine twice, the more cautious state counts;
+//! - an event whose revision is below the revision of the current list is *stale*. A drain or removal in a
+//!   stale event is applied at once (a needless drain costs capacity, a missed drain breaks a rule), an entry
+//!   with state ready is ignored, and an engine that the event does not list stays;
+//! - if one event lists an engine more than once, the most cautious state counts;
 //! - a stale complete list that is still sent after `accept_stale_after_ms`, with no newer event in between,
-//!   is accepted: the service restarted its numbering (after a restore from a backup), and must not be
+//!   is accepted: the feed has restarted its numbering (after a restore from a backup), and must not be
 //!   ignored indefinitely.
 //!
-//! Only ids and states are retained, of at most [`MAX_ENGINES`] engines.
+//! Only the ids and states of at most [`MAX_ENGINES`] engines are retained.
 
 use crate::{from_millis, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -24,8 +24,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Largest number of engines tracked; entries of further engines are applied unchecked. Twice the largest
-/// fleet planned for.
+/// Largest number of engines whose states are tracked, twice the largest planned number of engines. Further
+/// engines are not tracked, so that entries for them in a stale event are ignored.
 pub const MAX_ENGINES: usize = 10_000;
 
 /// State of an engine in an endpoint list, in ascending order of caution.
@@ -39,12 +39,12 @@
     Gone,
 }
 
-/// Settings of the guard.
+/// Settings of the guard against stale endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointListGuardConfig {
-    /// Time after which a stale complete list that is still sent is accepted, in milliseconds; 0 (at once:
-    /// the guard is off) to 60,000.
+    /// Time after which a stale complete list that is still sent is accepted, in milliseconds; 0 (off: no
+    /// event counts as stale) to 60,000.
     #[serde(rename = "older_for_ms")]
     pub accept_stale_after_ms: f64,
 }
@@ -72,35 +72,38 @@
     pub accepted: Vec<usize>,
     /// Whether to apply the event as a complete list: engines that it does not list are gone.
     pub is_complete: bool,
-    /// The event is older than the current list.
+    /// Whether the event is older than the current list and was therefore applied in part at most.
     pub is_stale: bool,
     /// Number of entries that contradict an earlier entry of the same engine in the event.
     pub contradictions: usize,
 }
 
-/// Tracks the current endpoint list, and decides what an event may change of it.
+/// Tracks the current endpoint list, and decides which changes by an event are applied to it.
 #[derive(Clone, Debug)]
 pub struct EndpointListGuard {
     config: EndpointListGuardConfig,
+    /// Revision of the current list.
     revision: u64,
+    /// States of the engines in the current list, by id.
     states: BTreeMap<String, EndpointState>,
-    /// Time of the first of the stale complete lists that have arrived with no newer event in between.
+    /// Time at which the first stale complete list since the last newer event arrived.
     stale_since: Option<Timestamp>,
 }
 
 impl EndpointListGuard {
-    /// A guard that has no current list yet.
+    /// Creates a guard without a current list, which accepts the first event.
     pub fn new(config: EndpointListGuardConfig) -> EndpointListGuard {
         EndpointListGuard { config, revision: 0, states: BTreeMap::new(), stale_since: None }
     }
 
-    /// Revision of the current list.
+    /// Revision of the current list; 0 before the first event.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Decides which entries of an event to apply. The event has a revision, may claim to be a complete list,
-    /// and lists engines by id. Accepted entries become part of the current list.
+    /// Decides which entries of an event to apply; accepted entries become part of the current list.
+    /// `is_complete`: whether the event claims to be a complete list; `entries`: ids and states of engines,
+    /// in the order of the event.
     pub fn evaluate(
         &mut self,
         now: Timestamp,
@@ -133,8 +136,8 @@
         ListDecision { accepted, is_complete, is_stale, contradictions: selection.contradictions }
     }
 
-    /// Whether an event is stale. A complete list that is older than the current one stops being stale once
-    /// such lists have been sent for long enough.
+    /// Whether an event is stale. An older complete list does not count as stale once stale complete lists
+    /// have been sent for `accept_stale_after_ms`.
     fn is_stale(&mut self, now: Timestamp, revision: u64, is_complete: bool) -> bool {
         let is_older = revision < self.revision && self.config.accept_stale_after_ms > 0.0;
         if !is_older || !is_complete {
@@ -144,8 +147,8 @@
         now - since < from_millis(self.config.accept_stale_after_ms)
     }
 
-    /// Whether a state is more cautious than the tracked state of the engine. An engine that is not tracked
-    /// may have been removed since the stale event, so no state of it counts as more cautious.
+    /// Whether a state is more cautious than the tracked state of the engine. If the engine is not tracked,
+    /// it may have been removed since the stale event, so no state counts as more cautious.
     fn is_more_cautious(&self, id: &str, state: EndpointState) -> bool {
         self.states.get(id).is_some_and(|current| state > *current)
     }
@@ -159,7 +162,7 @@
     }
 }
 
-/// An entry selected from an event.
+/// The entry that is selected for an engine from an event.
 #[derive(Clone, Copy, Debug)]
 struct SelectedEntry {
     /// Index of the entry in the event.
@@ -170,6 +173,7 @@
 /// The entry with the most cautious state for each engine of an event.
 #[derive(Debug, Default)]
 struct MostCautiousEntries<'a> {
+    /// Selected entries by engine id.
     by_engine: BTreeMap<&'a str, SelectedEntry>,
     /// Number of entries that contradict an earlier entry of the same engine.
     contradictions: usize,
--- a/crates/startup/src/endpoint_poller.rs
+++ b/crates/startup/src/endpoint_poller.rs
@@ -1,21 +1,23 @@
-//! Schedules a manager's polls of the list service (the control feed) for its endpoint list.
+//! Schedules a manager's polls of the control feed for its endpoint list.
 //!
 //! A single manager may poll at once at its start, and again 20 ms after an answer ends. Hundreds of managers
-//! that start together, or lose the service together, would poll it in the same milliseconds. Hence:
+//! that start together, or lose the feed together, would poll it in the same milliseconds. Hence:
 //!
 //! - the first poll is spread by full jitter over a window that grows with the configured fleet size:
 //!   `fleet / fleet_rate` seconds, at most `max_window_ms`;
 //! - each poll takes a token from a bucket that refills at this manager's share of the fleet's rate,
-//!   `fleet_rate / fleet` per second, and holds `burst` tokens;
+//!   `fleet_rate / fleet` tokens per second, and holds `burst` tokens;
 //! - a failed poll is retried with the backoff `failed` (short, since most failures are transient), and a
-//!   poll that the service rejected (HTTP 429 or 503) with the backoff `rejected` (gRPC's values);
+//!   poll that the feed rejected (HTTP 429 or 503) with the backoff `rejected` (gRPC's values);
 //! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed
-//!   is longer than `max_delay_ms`, regardless of the token bucket: both at most 250 ms. An event counts as
-//!   delivered when it would have arrived had the manager been polling, and a drain must be honoured within
-//!   500 ms of that time. Only an explicit rejection may delay for longer, since the service is up and
-//!   reports that it cannot answer.
+//!   is longer than `max_delay_ms`, regardless of the token bucket. Both settings are at most 250 ms, except
+//!   that `engines_reject_while_draining` raises the bound of `max_window_ms`. The reason for the bound: an
+//!   event counts as delivered when it would have arrived if the manager had been polling, and a drain must
+//!   be honoured within 500 ms of that time. Only an explicit rejection may cause a longer delay, since the
+//!   feed is up and reports that it cannot answer.
 //!
-//! Between polls the last endpoint list stays in force; [`EndpointPoller::time_since_success`] is its age.
+//! Between polls the last endpoint list stays in force. [`EndpointPoller::time_since_success`] is the time
+//! since the last answered poll.
 
 use crate::backoff::{Backoff, BackoffConfig};
 use crate::{from_millis, TimeDelta, Timestamp};
@@ -28,19 +30,19 @@
 /// so that a manager that learns of a drain at the end of a delay still stops sending within the grace
 /// period.
 pub const MAX_DRAIN_DELAY_MS: f64 = 250.0;
-/// Upper bound of `max_window_ms` if drains that are honoured late break no rule, in milliseconds.
+/// Upper bound of `max_window_ms` if engines reject work themselves while they drain, in milliseconds.
 const MAX_WINDOW_MS: f64 = 120_000.0;
 
 /// Outcome of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// The poll was answered (the head of a successful response arrived), and then the answer ended or broke
-    /// off.
+    /// The poll was answered (the head of a successful response arrived), and then the answer ended or was
+    /// interrupted.
     Answered,
-    /// The poll got no connection, no response head in time, an invalid response head, or no data before any
-    /// answer.
+    /// The poll got no connection, no data, no response head in time, or a response head that is invalid or
+    /// has a status other than 200, 429 and 503.
     Failed,
-    /// The service rejected the poll: HTTP 429 or 503.
+    /// The feed rejected the poll: HTTP 429 or 503.
     Rejected,
 }
 
@@ -48,19 +50,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointPollerConfig {
-    /// Polls per second that the list service is expected to handle from the complete fleet; 1 to 100,000.
+    /// Polls per second that the control feed is expected to handle from the complete fleet; 1 to 100,000.
     pub fleet_rate: f64,
-    /// Engines reject work themselves while they drain, so that a drain honoured late breaks no rule.
-    /// `max_window_ms` may exceed 250 only if this is set. Never the case on the platform.
+    /// Whether engines reject work themselves while they drain. If so, a drain that a manager honours late
+    /// breaks no rule, and `max_window_ms` may exceed 250. Must be false on the platform, whose engines do
+    /// not reject work while they drain.
     #[serde(rename = "engines_refuse_drained")]
     pub engines_reject_while_draining: bool,
-    /// Tokens that a manager's bucket holds, that is, polls in a row without waiting for the rate; 1 to 100.
+    /// Tokens that a manager's bucket holds: the number of polls in a row that do not wait for the rate; 1 to
+    /// 100.
     pub burst: f64,
-    /// Longest window over which first polls are spread, in milliseconds; 0 to 250 (bound by drains), or to
-    /// 120,000 with `engines_reject_while_draining`.
+    /// Longest window over which the fleet's first polls are spread, in milliseconds; 0 to 250 (so that
+    /// drains are honoured in time), or to 120,000 with `engines_reject_while_draining`.
     #[serde(rename = "window_most_ms")]
     pub max_window_ms: f64,
-    /// Longest delay after an answered or failed poll, in milliseconds; 20 to 250 (bound by drains).
+    /// Longest delay after an answered or failed poll, in milliseconds; 20 to 250 (so that drains are
+    /// honoured in time).
     #[serde(rename = "rest_most_ms")]
     pub max_delay_ms: f64,
     /// Shortest delay after an answered poll, before jitter, in milliseconds; 0 to `max_delay_ms`.
@@ -68,7 +73,7 @@
     pub min_delay_ms: f64,
     /// Backoff after failed polls.
     pub failed: BackoffConfig,
-    /// Backoff after polls that the service rejected.
+    /// Backoff after polls that the feed rejected.
     #[serde(rename = "refused")]
     pub rejected: BackoffConfig,
 }
@@ -126,7 +131,8 @@
 }
 
 impl EndpointPoller {
-    /// The schedule of a manager that starts now, in a fleet configured with `fleet` managers; 0 counts as 1.
+    /// Creates the schedule of a manager that starts at `now`. `fleet`: the configured number of managers, 0
+    /// counts as 1; `seed`: seed of the jitter.
     pub fn new(config: EndpointPollerConfig, fleet: u32, seed: u64, now: Timestamp) -> EndpointPoller {
         let mut poller = EndpointPoller {
             config,
@@ -147,7 +153,8 @@
         poller
     }
 
-    /// The window over which the fleet's first polls spread.
+    /// The window over which the fleet's first polls are spread. Polls after an answer are spread over the
+    /// same window, up to `max_delay_ms`.
     pub fn first_poll_window(&self) -> TimeDelta {
         let fleet_seconds = self.fleet / self.config.fleet_rate;
         TimeDelta::from_secs_f64(fleet_seconds.min(self.config.max_window_ms / 1_000.0))
@@ -158,8 +165,9 @@
         (!self.in_flight).then_some(self.next_poll_at)
     }
 
-    /// Starts a poll if one is due; returns whether it did. The poll takes a token, or starts without a token
-    /// if the bucket would delay it beyond its bound (drains take precedence).
+    /// Starts a poll if a poll is due; returns whether the poll was started. The poll takes a token, or
+    /// starts without a token if waiting for one would exceed `max_delay_ms` (drains take precedence over the
+    /// rate).
     pub fn try_start(&mut self, now: Timestamp) -> bool {
         if self.in_flight || now < self.next_poll_at {
             return false;
@@ -196,8 +204,8 @@
         self.next_poll_at
     }
 
-    /// The delay after an answered poll: full jitter over the fleet's window, so that when the answers to all
-    /// managers end at once (a restart of the service) they do not all poll again at once.
+    /// The delay after an answered poll: full jitter over the fleet's window, so that managers whose answers
+    /// end at the same time (a restart of the feed) do not poll again at the same time.
     fn delay_after_answer(&mut self, max_delay: TimeDelta) -> TimeDelta {
         let min_delay = from_millis(self.config.min_delay_ms);
         let window = self.first_poll_window().min(max_delay);
@@ -218,7 +226,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Time until the bucket holds one token.
+    /// Time until the bucket holds at least one token.
     fn token_wait(&self) -> TimeDelta {
         if self.tokens >= 1.0 {
             return TimeDelta::ZERO;
@@ -236,12 +244,12 @@
         now - self.last_answered_at.unwrap_or(self.started_at)
     }
 
-    /// Polls started since the manager's start.
+    /// Number of polls started since the manager's start.
     pub fn polls(&self) -> u64 {
         self.polls
     }
 
-    /// Failures and rejections since the last answered poll.
+    /// Number of failed and rejected polls since the last answered poll.
     pub fn consecutive_failures(&self) -> u32 {
         self.failed.failures() + self.rejected.failures()
     }
--- a/crates/startup/src/first_load.rs
+++ b/crates/startup/src/first_load.rs
@@ -1,32 +1,36 @@
-//! Ramp of a starting manager's first load on cold engines.
+//! Ramp of the first load that a starting manager puts on engines in slow start.
 //!
-//! The policy gives each manager an equal share of the load that a cold engine can take (the
-//! engine's budget divided by the configured number of managers). A manager that has just started gets half
-//! of its share during one span, since it does not remember what it sent before its restart. If most of a
-//! fleet starts at once, all managers take that step in the same second. With this ramp the share rises
-//! linearly instead, from `initial_fraction` to 1 over `ramp_ms` after the start. The sum over all managers
-//! never exceeds the engine's budget, whatever they sent before their restart, as long as the initial
-//! fraction and the slope allow it: with `ramp_ms` of two spans, a manager sends less than
-//! `initial_fraction + 0.5` of its share within one span of its start.
+//! The policy gives each manager an equal share of the work that an engine in slow start may be sent in one
+//! slow-start window (the engine's budget divided by the configured number of managers). Without the ramp, a
+//! manager uses half of its share during the first window after its own start, since it does not know what it
+//! sent before a restart, and then its full share. If most of a fleet starts at once, all managers make this
+//! step in the same second. With the ramp, the fraction of the share that the manager uses rises linearly
+//! instead, from `initial_fraction` to 1 over `ramp_ms` after the start. Whatever the managers sent before
+//! their restart, the sum over all managers does not exceed the engine's budget if the initial fraction and
+//! the slope are low enough: with a `ramp_ms` of two slow-start windows, a manager sends less than
+//! `initial_fraction + 0.5` of its share within one window of its start.
 //!
-//! Envoy's slow start and HAProxy's `slowstart` ramp the weight of a server that came up, independently in
-//! each proxy. This ramp applies to a manager that came up, in addition to the slow start of each server.
+//! Envoy's slow start and HAProxy's `slowstart` increase the weight of a server that has started,
+//! independently in each proxy. This ramp applies to a manager that has started, in addition to the slow
+//! start of each engine.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_settings::{check_range, InvalidField};
 
-/// Smallest rise of the fraction from which a slope is computed: a ramp that starts at 1 does not rise, and
-/// its slope would otherwise be a division by zero.
+/// Lower bound of the fraction's rise in the computation of the slope, which avoids a division by zero for a
+/// ramp that starts at 1 and does not rise.
 const MIN_RISE: f64 = 1e-9;
 
 /// Settings of the ramp, which the policy applies (`Settings::restart_ramp`).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FirstLoadConfig {
-    /// Fraction of its share that this manager may use at the start; 0.01 to 1.
+    /// Fraction of its share of an engine's slow-start budget that this manager may use at its own start;
+    /// 0.01 to 1.
     #[serde(rename = "from")]
     pub initial_fraction: f64,
-    /// Time until the fraction is 1, in milliseconds; 0 (off: the policy's own step) to 120,000.
+    /// Time from the manager's start until the fraction is 1, in milliseconds; 0 (off: the policy's step from
+    /// half of the share to the full share applies) to 120,000.
     #[serde(rename = "over_ms")]
     pub ramp_ms: f64,
 }
@@ -47,8 +51,8 @@
         check_range("over_ms", self.ramp_ms, 0.0, 120_000.0)
     }
 
-    /// The ramp as the policy takes it: the initial fraction, and the seconds in which the fraction
-    /// would rise by one; `None` if the ramp is off.
+    /// The ramp in the form of the policy's setting: the initial fraction, and the number of seconds in which
+    /// the fraction would rise by one; `None` if the ramp is off.
     pub fn ramp(&self) -> Option<(f64, f64)> {
         if self.ramp_ms <= 0.0 {
             return None;
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -1,14 +1,14 @@
 //! Start-up control of a workload manager, for when hundreds of managers start at the same time.
 //!
 //! A manager that starts alone may poll its endpoint list, connect to its engines and load them at once. If
-//! hundreds of managers start together (a release, a crash of most of a fleet, a rolling restart), they do so
-//! in step, and the list service and the engines face a thundering herd. This crate holds the state machines
-//! that spread such a start:
+//! hundreds of managers start together (a release, a crash of most of a fleet, a rolling restart), the
+//! control feed and the engines face a thundering herd. This crate holds the state machines that spread such
+//! a start over time:
 //!
 //! - [`endpoint_poller`]: when to poll the endpoint list, with a rate limit and backoff ([`backoff`]);
-//! - [`dial_pacer`]: when a new connection may be dialled;
-//! - [`first_load`]: how fast the first load on cold engines rises;
-//! - [`admission`]: how many requests are admitted during warm-up;
+//! - [`dial_pacer`]: when a new connection may be dialed;
+//! - [`first_load`]: how fast the load on engines in slow start rises after the manager's start;
+//! - [`admission`]: how many requests may be pending during warm-up;
 //! - [`endpoint_list_guard`]: which changes of a stale or contradictory endpoint list are applied;
 //! - [`readiness`]: when the manager reports that it is ready.
 //!
--- a/crates/startup/src/readiness.rs
+++ b/crates/startup/src/readiness.rs
@@ -1,9 +1,10 @@
 //! Decides when a starting manager reports that it is ready.
 //!
-//! A manager is ready when it has an endpoint list (the configured one or one from the feed); the feed has
-//! answered once, or `max_feed_wait_ms` have passed since the start (a feed that is down must not keep a
-//! manager out of service); and a connection to an engine is up, or `max_connection_wait_ms` have passed.
-//! Readiness is reported once, with its reasons.
+//! A manager is ready when three conditions are met. First, it has an endpoint list that is not empty,
+//! configured or from the control feed. Second, the feed has answered once, or `max_feed_wait_ms` have passed
+//! since the start (a feed that is down must not keep a manager out of service). Third, a connection to an
+//! engine has opened, or `max_connection_wait_ms` have passed since the start. Readiness is reported once,
+//! with its reasons.
 
 use crate::{from_millis, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -13,10 +14,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReadinessConfig {
-    /// Longest wait for the feed's first answer, in milliseconds; 0 to 30,000.
+    /// Longest wait for the control feed's first answer, from the start, in milliseconds; 0 to 30,000.
     #[serde(rename = "feed_wait_ms")]
     pub max_feed_wait_ms: f64,
-    /// Longest wait for a first connection to an engine, in milliseconds; 0 to 30,000.
+    /// Longest wait for a first connection to an engine, from the start, in milliseconds; 0 to 30,000.
     #[serde(rename = "link_wait_ms")]
     pub max_connection_wait_ms: f64,
 }
@@ -38,16 +39,16 @@
     }
 }
 
-/// Reports that the manager became ready, and by which conditions.
+/// A report that the manager became ready, and how the conditions were met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BecameReady {
     /// Time from the start until the manager became ready.
     pub after: TimeDelta,
-    /// Whether the feed had answered; if not, `max_feed_wait_ms` had passed.
+    /// Whether the control feed had answered; if not, `max_feed_wait_ms` had passed.
     pub feed_answered: bool,
-    /// Whether a connection to an engine was up; if not, `max_connection_wait_ms` had passed.
+    /// Whether a connection to an engine had opened; if not, `max_connection_wait_ms` had passed.
     pub is_connected: bool,
-    /// Number of engines in the endpoint list that accept work.
+    /// Number of engines in the endpoint list.
     pub engines: usize,
 }
 
@@ -56,6 +57,7 @@
 pub struct Readiness {
     config: ReadinessConfig,
     started_at: Timestamp,
+    /// Number of engines in the last endpoint list; 0 before the first list.
     engines: usize,
     feed_answered: bool,
     is_connected: bool,
@@ -63,7 +65,7 @@
 }
 
 impl Readiness {
-    /// The readiness of a manager that starts now.
+    /// Creates the readiness of a manager that starts at `now` without an endpoint list.
     pub fn new(config: ReadinessConfig, now: Timestamp) -> Readiness {
         Readiness {
             config,
@@ -75,22 +77,24 @@
         }
     }
 
-    /// Records an endpoint list, configured or from the feed, with this many engines that accept work.
+    /// Records that an endpoint list, configured or from the control feed, was applied. `engines`: the number
+    /// of engines that are listed now.
     pub fn record_endpoint_list(&mut self, engines: usize) {
         self.engines = engines;
     }
 
-    /// Records that the feed answered.
+    /// Records that the control feed answered a poll.
     pub fn record_feed_answer(&mut self) {
         self.feed_answered = true;
     }
 
-    /// Records that a connection to an engine came up.
+    /// Records that a connection to an engine opened.
     pub fn record_connection(&mut self) {
         self.is_connected = true;
     }
 
-    /// Checks whether the manager is ready; returns `Some` once, when it becomes ready.
+    /// Checks whether the manager is ready; returns `Some` once, at the first check at which the manager is
+    /// ready.
     pub fn check(&mut self, now: Timestamp) -> Option<BecameReady> {
         if self.is_ready || self.engines == 0 {
             return None;
@@ -114,8 +118,8 @@
         self.is_ready
     }
 
-    /// Time of the next check: the earliest deadline of a condition that is not met. `None` if both
-    /// conditions are met or the manager is ready.
+    /// Time of the next check: the earliest deadline of the conditions on the feed and on connections that
+    /// are not met. `None` if both are met or the manager is ready.
     pub fn next_check_at(&self) -> Option<Timestamp> {
         if self.is_ready {
             return None;
--- a/crates/startup/tests/endpoint_poller.rs
+++ b/crates/startup/tests/endpoint_poller.rs
@@ -12,7 +12,8 @@
     let first_poll =
         |seed| EndpointPoller::new(config, 300, seed, Timestamp::ZERO).next_poll_at().unwrap().as_micros();
     let first_polls: Vec<i64> = (0..300).map(first_poll).collect();
-    // 300 managers at 200 polls per second would spread over 1.5 s; drains bound the window to 200 ms.
+    // 300 managers at 200 polls per second would spread over 1.5 s; `max_window_ms` bounds the window to
+    // 200 ms.
     assert!(first_polls.iter().all(|poll| (0..=MICROS_PER_SEC / 5).contains(poll)));
     let mut per_tenth = [0; 10];
     first_polls.iter().for_each(|poll| per_tenth[((poll * 50 / MICROS_PER_SEC) as usize).min(9)] += 1);
--- a/crates/startup/tests/first_load.rs
+++ b/crates/startup/tests/first_load.rs
@@ -1,4 +1,4 @@
-//! Tests of the ramp of first load on cold engines.
+//! Tests of the ramp of a starting manager's load on engines in slow start.
 
 use sprucelink_startup::first_load::FirstLoadConfig;
 
