--- a/crates/cordon/src/cause.rs
+++ b/crates/cordon/src/cause.rs
@@ -8,11 +8,11 @@
 /// A cause that keeps a target cordoned. Causes are independent: ending one leaves the others active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// The operator. Any number of operator calls on a target counts as one cause.
+    /// An operator's call. Any number of operator calls on a target counts as one cause.
     Operator,
-    /// A permit that the fleet agreed on.
+    /// A permit in the fleet's replicated log, on which the managers agreed.
     Fleet {
-        /// Identifier of the permit.
+        /// Identifier of the permit; each permit is a separate cause.
         permit: u64,
     },
 }
@@ -35,13 +35,14 @@
     Fleet {
         /// Identifier of the permit.
         permit: u64,
-        /// Time at which the lease expires; a later request with the same permit replaces it.
+        /// Time at which the lease expires, at most [`MAX_LEASE`] after the call. A later request with the
+        /// same permit replaces this lease.
         lease_expires_at: Timestamp,
     },
 }
 
 impl CordonRequest {
-    /// The cause that the request activates.
+    /// The cause that is active once the request is accepted.
     pub fn cause(self) -> Cause {
         match self {
             CordonRequest::Operator => Cause::Operator,
--- a/crates/cordon/src/cause_register.rs
+++ b/crates/cordon/src/cause_register.rs
@@ -5,9 +5,9 @@
 use crate::Timestamp;
 use std::collections::BTreeMap;
 
-/// The register of one cause, and whether its lease is known to have expired. An expired entry is retained
-/// unchanged for the retention time of tombstones: otherwise an older entry with a longer lease would win
-/// over it.
+/// The register of one cause on one target: the entry of the last call, and whether its lease was found to
+/// have expired. An expired entry is retained unchanged for the retention time of tombstones: without it, an
+/// older entry with a longer lease would become active again.
 #[derive(Clone, Debug)]
 pub(crate) struct CauseState {
     entry: CordonEntry,
@@ -20,17 +20,18 @@
         CauseState { entry, is_lease_expired }
     }
 
-    /// The same entry, marked as having an expired lease.
+    /// A copy of this register whose lease counts as expired.
     pub(crate) fn with_expired_lease(&self) -> CauseState {
         CauseState { entry: self.entry.clone(), is_lease_expired: true }
     }
 
-    /// The entry of the cause's last call.
+    /// The entry of the last call of the cause on the target.
     pub(crate) fn entry(&self) -> &CordonEntry {
         &self.entry
     }
 
-    /// Whether the cause is still active although its lease has expired at `now`.
+    /// Whether the lease has expired at `now` but the cause is still active, because the expiry was not
+    /// processed yet.
     pub(crate) fn is_lease_due(&self, now: Timestamp) -> bool {
         self.is_active() && self.entry.lease_expires_at.is_some_and(|expiry| expiry <= now)
     }
@@ -40,7 +41,8 @@
         self.entry.cordoned && !self.is_lease_expired
     }
 
-    /// Time since which the cause is inactive, by the clock of the process that made the call.
+    /// Time since which an inactive cause is inactive: the end of its lease, or the time of the call that
+    /// ended it, by the clock of the process that received the call.
     pub(crate) fn inactive_since(&self) -> Timestamp {
         let changed_at = self.entry.changed_at;
         self.entry.lease_expires_at.unwrap_or(changed_at).max(changed_at)
--- a/crates/cordon/src/cordon_record.rs
+++ b/crates/cordon/src/cordon_record.rs
@@ -11,9 +11,10 @@
 
 /// The last call of one cause on one target.
 ///
-/// Of two entries for the same target and cause the greater wins, compared in the order of the fields: the
-/// higher version; on a tie the entry that cordons; then the longer lease. The remaining fields only make the
-/// order total, so that merging is associative, commutative and idempotent for any records.
+/// Of two entries for the same target and cause the greater entry wins. Entries are compared in the order of
+/// their fields: the higher version wins; on a tie the entry that cordons; then the longer lease. The
+/// remaining fields only make the order total, so that merging is associative, commutative and idempotent for
+/// any records.
 ///
 /// A version is the value of a Lamport clock that runs no slower than the Unix clock: the time of the call in
 /// microseconds, or one more than the highest version that the process has seen, whichever is higher (Lamport
@@ -24,18 +25,18 @@
 pub struct CordonEntry {
     /// Version of the entry: of two entries, the one with the higher version is newer.
     pub version: u64,
-    /// Whether the call cordons the target; otherwise it uncordons it.
+    /// Whether the call cordons the target; false for a call that uncordons the target.
     pub cordoned: bool,
-    /// Time at which the lease expires; only cordons of the fleet have one.
+    /// Time at which the lease expires; `None` for the operator's entries and for entries that uncordon.
     pub lease_expires_at: Option<Timestamp>,
-    /// Time of the call.
+    /// Unix time of the call, by the clock of the process that received the call.
     pub changed_at: Timestamp,
     /// The reason given with the call: at most [`MAX_REASON_BYTES`] bytes, no control characters.
     pub reason: String,
 }
 
-/// An entry with its key, as exchanged between processes. Entries that uncordon (`cordoned` is false) are
-/// exchanged, too, so that they win over older cordons.
+/// An entry with its target and cause, as exchanged between processes. Entries that uncordon (`cordoned` is
+/// false) are exchanged, too, so that they win over older cordons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CordonRecord {
     /// Target of the call.
@@ -68,8 +69,8 @@
     }
 }
 
-/// The reason in the form in which it is retained: control characters become spaces, so that it stays on one
-/// log line, and it is truncated to at most [`MAX_REASON_BYTES`] bytes.
+/// Converts a reason to the form in which it is retained. Control characters become spaces, so that the
+/// reason stays on one log line, and the reason is truncated to at most [`MAX_REASON_BYTES`] bytes.
 pub(crate) fn sanitize_reason(reason: &str) -> String {
     let mut sanitized = String::new();
     for character in reason.trim().chars() {
--- a/crates/cordon/src/error.rs
+++ b/crates/cordon/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Reason for which a call was rejected; the cordons are unchanged.
+/// Reason for which a call was rejected. The cordons are unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CordonError {
     /// No endpoint list ever named the engine, or the last one did so long ago that its id was evicted
--- a/crates/cordon/src/known_ids.rs
+++ b/crates/cordon/src/known_ids.rs
@@ -13,8 +13,10 @@
     stable_hash(&[id.as_bytes()])
 }
 
+/// The flags and the rank that decide whether and when a known engine id is evicted.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownId {
+    /// Whether the endpoint list of this process names the id now.
     is_listed: bool,
     is_cordoned: bool,
     /// Position in the order of eviction; the id with the lowest rank is evicted first.
@@ -22,6 +24,7 @@
 }
 
 impl KnownId {
+    /// Whether the id must not be evicted.
     fn is_retained(self) -> bool {
         self.is_listed || self.is_cordoned
     }
@@ -35,8 +38,11 @@
     ids: BTreeMap<u64, KnownId>,
     /// Hashes that may be evicted, by eviction rank.
     evictable: BTreeMap<u64, u64>,
+    /// The highest eviction rank assigned so far.
     last_rank: u64,
+    /// Number of ids evicted because of the bound.
     evicted: u64,
+    /// Number of ids not recorded because listed and cordoned ids fill the bound.
     over_limit: u64,
 }
 
@@ -70,8 +76,8 @@
         self.over_limit
     }
 
-    /// Changes the flags of an id. A new id is recorded if there is capacity or another id can be evicted;
-    /// returns whether the id is recorded.
+    /// Changes the flags of an id. A new id is added if there is capacity or another id can be evicted;
+    /// returns whether the id is known after the call.
     fn update(&mut self, hash: u64, change: impl FnOnce(&mut KnownId)) -> bool {
         let existing = self.ids.get(&hash).copied();
         if existing.is_none() && !self.reserve_slot() {
@@ -90,7 +96,7 @@
         true
     }
 
-    /// Makes room for one more id, evicting another if necessary; returns whether there is room.
+    /// Makes room for one more id by evicting another id if necessary; returns whether there is room.
     fn reserve_slot(&mut self) -> bool {
         if self.ids.len() < self.max_ids {
             return true;
@@ -101,7 +107,8 @@
         true
     }
 
-    /// Records whether the endpoint list names the id; returns whether the id is recorded.
+    /// Sets whether the endpoint list names the id; returns whether the id is known after the call. A new id
+    /// is not added if it is unlisted, or if listed and cordoned ids fill the bound.
     pub(crate) fn set_listed(&mut self, hash: u64, is_listed: bool) -> bool {
         if !is_listed && !self.contains(hash) {
             return false;
@@ -109,7 +116,8 @@
         self.update(hash, |known| known.is_listed = is_listed)
     }
 
-    /// Records whether the id is cordoned; returns whether the id is recorded.
+    /// Sets whether the id is cordoned; returns whether the id is known after the call. A new id is not added
+    /// if it is not cordoned, or if listed and cordoned ids fill the bound.
     pub(crate) fn set_cordoned(&mut self, hash: u64, is_cordoned: bool) -> bool {
         match self.ids.get(&hash) {
             None if !is_cordoned => false,
@@ -118,7 +126,7 @@
         }
     }
 
-    /// Records an id that was listed at another process.
+    /// Adds an id that was listed at another process, if there is spare capacity.
     pub(crate) fn add_remote(&mut self, hash: u64) {
         // Ids of the other process only fill spare capacity: they must not evict ids that were listed at this
         // process.
--- a/crates/cordon/src/lamport_clock.rs
+++ b/crates/cordon/src/lamport_clock.rs
@@ -2,7 +2,8 @@
 
 use crate::Timestamp;
 
-/// A Lamport clock that runs no slower than the Unix clock ([`crate::CordonEntry`]).
+/// A Lamport clock that runs no slower than the Unix clock. [`crate::CordonEntry`] describes the order of
+/// versions.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LamportClock {
     /// The highest version issued by this process or received from another one.
--- a/crates/cordon/src/lib.rs
+++ b/crates/cordon/src/lib.rs
@@ -1,20 +1,20 @@
-//! Cordons: takes engines or this manager itself out of service on behalf of an operator or the fleet.
+//! Cordons take engines or this manager itself out of service on behalf of an operator or the fleet.
 //!
-//! An engine is *cordoned* while at least one [`Cause`] is active on it: the operator ([`Cause::Operator`])
-//! or a permit that the fleet agreed on ([`Cause::Fleet`]). Causes are independent of each other; the engine
-//! returns to service once none is active. Events of the endpoint list (gone, draining, ready again,
-//! restarted under the same id) change no cordon. The same code serves calls at one manager's operator
-//! address and permits of the fleet's replicated log.
+//! An engine is *cordoned* while at least one [`Cause`] is active on it: an operator's call
+//! ([`Cause::Operator`]) or a permit that the fleet agreed on ([`Cause::Fleet`]). Causes are independent of
+//! each other; the engine returns to service once no cause is active. Events of the endpoint list (gone,
+//! draining, ready again, restarted under the same id) change no cordon. The same code handles calls at one
+//! manager's operator address and permits of the fleet's replicated log.
 //!
 //! The state is a state-based CRDT, a map of last-writer-wins registers (Shapiro et al. 2011, "A
 //! comprehensive study of Convergent and Commutative Replicated Data Types"): one register, [`CordonEntry`],
 //! for each pair of target and cause, versioned by a Lamport clock. Merging is associative, commutative and
-//! idempotent. During a hot restart, calls may reach either of two processes; after each has merged the
-//! other's records, both hold the newest call.
+//! idempotent. During a hot restart, calls may reach either of two processes; after each process has merged
+//! the other's records, both hold the newest call for each target and cause.
 //!
 //! - [`CordonState`]: active cordons, the engine ids ever listed, and this manager's own state
 //!   ([`ManagerState`]).
-//! - [`CordonRecord`]: one register with its key, as exchanged between processes.
+//! - [`CordonRecord`]: one register with its target and cause, as exchanged between processes.
 //! - [`CordonLimits`]: every bound on retained state, with the behaviour at the bound.
 //!
 //! This crate performs no I/O and reads no clock: the current Unix time is an argument. docs/design/cordon.md
--- a/crates/cordon/src/manager_state.rs
+++ b/crates/cordon/src/manager_state.rs
@@ -1,4 +1,4 @@
-//! The state of this workload manager: serving, quiescing, quiesced.
+//! The state of this workload manager: serving, quiescing or quiesced.
 
 use crate::Timestamp;
 
@@ -12,8 +12,8 @@
     Serving,
     /// The manager accepts no new connections and completes the requests in flight.
     Quiescing {
-        /// Time of the cordon; if the manager was quiesced and has work in flight again, the time at which it
-        /// became quiesced.
+        /// Time at which the manager was cordoned; if it was quiesced since and has work in flight again, the
+        /// time at which it became quiesced.
         since: Timestamp,
     },
     /// The manager accepts no new connections and has nothing in flight.
@@ -29,7 +29,7 @@
         self == ManagerState::Serving
     }
 
-    /// The state after the manager's cordon is set or ended. A further cause does not restart quiescing.
+    /// The state at `now` if the manager is or is not cordoned. A further cause does not restart quiescing.
     pub(crate) fn with_cordon(self, now: Timestamp, cordoned: bool) -> ManagerState {
         match (self, cordoned) {
             (_, false) => ManagerState::Serving,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The state with this many requests and sessions in flight. A quiesced manager may have work in flight
-    /// again, from a connection that was accepted before the call.
+    /// The state at `now` with `count` connections and requests in flight. A quiesced manager may have work
+    /// in flight again, from a connection that was accepted before the cordon.
     pub(crate) fn with_in_flight(self, now: Timestamp, count: usize) -> ManagerState {
         match (self, count) {
             (ManagerState::Quiescing { .. }, 0) => ManagerState::Quiesced { since: now },
--- a/crates/cordon/src/outcome.rs
+++ b/crates/cordon/src/outcome.rs
@@ -8,14 +8,14 @@
 pub enum CordonOutcome {
     /// The target was in service and is now cordoned.
     Cordoned,
-    /// The target was cordoned already, by this cause or another; this cause is now active, too.
+    /// The target was cordoned already, by this cause or another cause; this cause is now active, too.
     AlreadyCordoned,
     /// The target was cordoned and is now in service.
     Uncordoned,
     /// The target was not cordoned. The call is recorded nevertheless, since another process may hold an
     /// older cordon.
     NotCordoned,
-    /// The call's cause is no longer active, but another cause is.
+    /// The cause of the call is no longer active, but another cause keeps the target cordoned.
     StillCordoned {
         /// An active cause: the operator if active, else the permit with the lowest identifier.
         cause: Cause,
@@ -37,8 +37,8 @@
 pub struct MergeResult {
     /// Targets that were cordoned or uncordoned by the merge.
     pub changes: Vec<TargetChange>,
-    /// Number of records not merged because the bound on active cordons is reached. Their cordons are not in
-    /// force at this process.
+    /// Number of records not merged because the bound on active cordons is reached. The cordons in these
+    /// records are not in force at this process.
     pub over_limit: usize,
     /// Number of records not merged because they are malformed.
     pub malformed: usize,
--- a/crates/cordon/src/record_usage.rs
+++ b/crates/cordon/src/record_usage.rs
@@ -1,6 +1,6 @@
-//! Usage of the bounds on records.
+//! The part of a bound on registers that is used up.
 
-/// The number of records, and the bytes of their engine ids.
+/// The number of registers, and the total length of their engine ids in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RecordUsage {
     pub(crate) records: usize,
@@ -8,13 +8,13 @@
 }
 
 impl RecordUsage {
-    /// Counts one more record.
+    /// Counts one more register, with an engine id of `id_bytes` bytes.
     pub(crate) fn add(&mut self, id_bytes: usize) {
         self.records += 1;
         self.id_bytes += id_bytes;
     }
 
-    /// Counts one record fewer.
+    /// Counts one register fewer, with an engine id of `id_bytes` bytes.
     pub(crate) fn remove(&mut self, id_bytes: usize) {
         self.records -= 1;
         self.id_bytes -= id_bytes;
--- a/crates/cordon/src/register_table.rs
+++ b/crates/cordon/src/register_table.rs
@@ -1,4 +1,4 @@
-//! The registers of all targets, and their usage of the bounds.
+//! The registers of all targets, and the parts of the bounds that they use up.
 
 use crate::cause::Cause;
 use crate::cause_register::{CauseMap, CauseState};
@@ -8,7 +8,7 @@
 use crate::Timestamp;
 use std::collections::BTreeMap;
 
-/// The key of one register.
+/// Target and cause, which identify a register.
 pub(crate) type RegisterKey = (Target, Cause);
 
 /// One register for each pair of target and cause. Active registers and tombstones are counted against
@@ -39,7 +39,7 @@
         std::iter::once((Target::Manager, &self.manager)).chain(engines)
     }
 
-    /// The registers of one target.
+    /// The registers of one target; `None` for an engine without a register.
     pub(crate) fn causes(&self, target: &Target) -> Option<&CauseMap> {
         match target {
             Target::Manager => Some(&self.manager),
@@ -85,7 +85,8 @@
         self.tombstone_usage.records
     }
 
-    /// Whether an active cordon is within the bounds; a cordon that is active already always is.
+    /// Whether a cordon of the target by the cause would be within the bounds. A cordon that is already
+    /// active is always within the bounds.
     pub(crate) fn has_capacity(&self, target: &Target, cause: Cause) -> bool {
         if self.get(target, cause).is_some_and(CauseState::is_active) {
             return true;
@@ -94,7 +95,8 @@
         self.active_usage.records < self.limits.max_cordons && id_bytes <= self.limits.max_cordon_id_bytes
     }
 
-    /// Inserts a register, replacing any previous one.
+    /// Stores the register of a cause on a target, replacing any previous register, and updates the used
+    /// parts of the bounds.
     pub(crate) fn insert(&mut self, target: &Target, cause: Cause, state: CauseState) {
         let id_bytes = target.id_bytes();
         let is_active = state.is_active();
@@ -105,7 +107,8 @@
         self.usage_mut(is_active).add(id_bytes);
     }
 
-    /// Removes a register, and its engine's entry once no register is left.
+    /// Removes the register of a cause on a target, and the engine's entry once no register of the engine is
+    /// left.
     pub(crate) fn remove(&mut self, target: &Target, cause: Cause) {
         let removed = self.causes_mut(target).remove(cause);
         if let Some(removed) = removed {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Keys of the active registers whose lease has expired.
+    /// Keys of the active registers whose lease has expired at `now`.
     pub(crate) fn due_leases(&self, now: Timestamp) -> Vec<RegisterKey> {
         self.keys_where(|state| state.is_lease_due(now))
     }
--- a/crates/cordon/src/state.rs
+++ b/crates/cordon/src/state.rs
@@ -1,5 +1,5 @@
-//! The cordons in force: the registers, the engine ids ever listed and the manager's state, which this module
-//! keeps consistent.
+//! The cordons in force. This module keeps the registers, the engine ids ever listed and the manager's state
+//! consistent with each other.
 
 use crate::cause::Cause;
 use crate::cause_register::CauseState;
@@ -23,11 +23,11 @@
     pub target: Target,
     /// The cause that is active on the target.
     pub cause: Cause,
-    /// Time of the cause's last call.
+    /// Time of the cause's last call on the target.
     pub changed_at: Timestamp,
-    /// Time at which the lease expires; only cordons of the fleet have one.
+    /// Time at which the lease expires; `None` for the operator's cordons.
     pub lease_expires_at: Option<Timestamp>,
-    /// The reason given with the cause's last call; may be empty.
+    /// The reason given with the cause's last call on the target; may be empty.
     pub reason: &'a str,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl CordonState {
-    /// The initial state: no engine is listed or cordoned, and this manager is serving.
+    /// Creates the initial state: no engine is listed or cordoned, and this manager is serving.
     pub fn new(limits: CordonLimits) -> CordonState {
         CordonState {
             registers: RegisterTable::new(limits),
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Records that the endpoint list names the engine, ready or draining. Cordons are unchanged.
+    /// Records that the endpoint list names the engine as ready or draining. Cordons are unchanged; an
+    /// invalid id is ignored.
     pub fn mark_listed(&mut self, id: &str) {
         // Invalid ids of an endpoint list, which no call could name, must not use up the capacity for ids.
         if validate_engine_id(id).is_ok() {
@@ -112,8 +113,8 @@
         self.manager_state
     }
 
-    /// Updates the number of connections and requests in flight: a quiescing manager with none becomes
-    /// quiesced.
+    /// Updates the number of connections and requests in flight: a quiescing manager with nothing in flight
+    /// becomes quiesced.
     pub fn set_in_flight(&mut self, now: Timestamp, count: usize) {
         self.manager_state = self.manager_state.with_in_flight(now, count);
     }
@@ -136,13 +137,15 @@
         }
     }
 
-    /// Stores the register of a cause, replacing any previous one.
+    /// Stores the register of a cause on a target, replacing any previous register, and updates the state
+    /// that depends on whether the target is cordoned.
     fn store(&mut self, now: Timestamp, target: &Target, cause: Cause, state: CauseState) {
         self.registers.insert(target, cause, state);
         self.apply_to_target(now, target);
     }
 
-    /// Removes the register of a cause.
+    /// Removes the register of a cause on a target, and updates the state that depends on whether the target
+    /// is cordoned.
     fn remove(&mut self, now: Timestamp, target: &Target, cause: Cause) {
         self.registers.remove(target, cause);
         self.apply_to_target(now, target);
--- a/crates/cordon/src/state/commands.rs
+++ b/crates/cordon/src/state/commands.rs
@@ -10,12 +10,12 @@
 use crate::Timestamp;
 
 impl CordonState {
-    /// Cordons a target. Cordoning a target that is cordoned already is not an error. The reason is truncated
-    /// to at most [`crate::MAX_REASON_BYTES`] bytes.
+    /// Cordons a target. It is not an error if the target is already cordoned. The reason is truncated to at
+    /// most [`crate::MAX_REASON_BYTES`] bytes.
     ///
     /// # Errors
-    /// Returns the reason for which the request is rejected. The rejection is counted; the state is unchanged
-    /// otherwise.
+    /// If the target or the lease is invalid, the engine was never listed, or the bound on active cordons is
+    /// reached. The rejection is counted; otherwise the state is unchanged.
     pub fn cordon(
         &mut self,
         now: Timestamp,
@@ -37,13 +37,13 @@
         Ok(if was_cordoned { CordonOutcome::AlreadyCordoned } else { CordonOutcome::Cordoned })
     }
 
-    /// Ends a cause, no matter how often it was requested. The call is recorded for
-    /// [`crate::TOMBSTONE_RETENTION`] even if the target was not cordoned, since another process may hold an
-    /// older cordon.
+    /// Ends a cause on a target, no matter how often cordons were requested for this cause. The call is
+    /// recorded for [`crate::TOMBSTONE_RETENTION`] even if the target was not cordoned, since another process
+    /// may hold an older cordon.
     ///
     /// # Errors
-    /// Returns the reason for which the request is rejected. The rejection is counted; the state is unchanged
-    /// otherwise.
+    /// If the target is invalid or the engine was never listed. The rejection is counted; otherwise the state
+    /// is unchanged.
     pub fn uncordon(
         &mut self,
         now: Timestamp,
--- a/crates/cordon/src/state/expiry.rs
+++ b/crates/cordon/src/state/expiry.rs
@@ -1,4 +1,4 @@
-//! Expiry of leases, and removal of tombstones by age or at their bounds.
+//! Expiry of leases, and removal of tombstones after their retention time or at their bounds.
 
 use crate::cause::Cause;
 use crate::cause_register::CauseState;
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 impl CordonState {
-    /// Ends leases that have expired, and removes tombstones older than [`crate::TOMBSTONE_RETENTION`].
-    /// Returns the targets with an expired lease. Must be called about once per second, and before metrics
-    /// are read.
+    /// Deactivates the causes whose leases have expired at `now`, and removes tombstones older than
+    /// [`crate::TOMBSTONE_RETENTION`]. Returns the targets with an expired lease. Must be called about once
+    /// per second, and before metrics are read.
     pub fn expire(&mut self, now: Timestamp) -> Vec<TargetChange> {
         let due_leases = self.registers.due_leases(now);
         let aged_tombstones = self.registers.aged_tombstones(now);
@@ -48,8 +48,8 @@
             if !self.registers.is_over_tombstone_limit() {
                 return;
             }
-            // Removing an inactive entry does not change whether the target is cordoned, so the time is
-            // irrelevant.
+            // The removal of an inactive entry does not change whether the target is cordoned, so the time
+            // that is passed has no effect.
             self.remove(Timestamp::ZERO, &target, cause);
             self.counters.tombstones_evicted += 1;
         }
--- a/crates/cordon/src/state/merge.rs
+++ b/crates/cordon/src/state/merge.rs
@@ -22,9 +22,10 @@
         records
     }
 
-    /// Merges another process's records: of two entries for the same target and cause the greater wins
+    /// Merges another process's records: of two entries for the same target and cause the greater entry wins
     /// ([`crate::CordonEntry`]). As long as no bound is reached, the result does not depend on the order of
-    /// merges, and merging a record twice has no further effect. Engine ids of records count as ever listed.
+    /// merges, and merging a record twice has no further effect. The engine ids of merged records count as
+    /// ever listed.
     pub fn merge_records(&mut self, now: Timestamp, records: &[CordonRecord]) -> MergeResult {
         let mut result = MergeResult::default();
         let mut was_cordoned: BTreeMap<Target, bool> = BTreeMap::new();
@@ -79,8 +80,8 @@
     }
 
     /// Merges hashes of engine ids that were listed at another process, in the order of
-    /// [`CordonState::export_known_ids`]. They only fill spare capacity and evict no id that was listed at
-    /// this process.
+    /// [`CordonState::export_known_ids`]. These ids only fill spare capacity and evict no id that was listed
+    /// at this process.
     pub fn merge_known_ids(&mut self, hashes: &[u64]) {
         for hash in hashes.iter().rev() {
             self.known_ids.add_remote(*hash);
--- a/crates/cordon/src/target.rs
+++ b/crates/cordon/src/target.rs
@@ -3,8 +3,8 @@
 use crate::error::CordonError;
 use std::fmt;
 
-/// Longest engine id, in bytes: endpoint lists name engines by some dozen characters, and ids are retained
-/// and written to a file with every cordon.
+/// Longest engine id, in bytes. Endpoint lists name engines by a few dozen characters; ids need a bound
+/// because they are retained and written to a file with every cordon.
 pub const MAX_ENGINE_ID_BYTES: usize = 256;
 
 /// A target that can be cordoned.
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Number of bytes that count towards the bounds on engine ids.
+    /// Length of the engine id in bytes, which counts towards the bounds on engine ids; 0 for the manager.
     pub(crate) fn id_bytes(&self) -> usize {
         match self {
             Target::Manager => 0,
@@ -37,8 +37,8 @@
     }
 }
 
-/// Checks an engine id, so that ids that no endpoint list would hold get neither into the log nor into the
-/// hot-restart state file.
+/// Checks an engine id, so that ids that cannot come from an endpoint list get neither into the log nor into
+/// the hot-restart state file.
 pub(crate) fn validate_engine_id(id: &str) -> Result<(), CordonError> {
     if id.is_empty() || id.len() > MAX_ENGINE_ID_BYTES || id.chars().any(char::is_control) {
         return Err(CordonError::InvalidTarget);
--- a/crates/cordon/tests/merge.rs
+++ b/crates/cordon/tests/merge.rs
@@ -36,7 +36,7 @@
     prop::collection::vec(record(), 0..12)
 }
 
-/// All records of a new process after it has merged these sets of records in this order.
+/// All records of a new process after it has merged the sets of records in the given order.
 fn merge(sets: &[&[CordonRecord]]) -> Vec<CordonRecord> {
     let mut state = CordonState::new(CordonLimits::default());
     for set in sets {
@@ -65,8 +65,8 @@
     }
 
     /// Calls reach either of two processes, which exchange records from time to time and share one clock.
-    /// Once both have merged each other's last records, each target is in the state that the last call on it
-    /// requested.
+    /// Once both processes have merged each other's last records, each target is in the state that the last
+    /// call on the target requested.
     #[test]
     fn last_call_wins_at_both_processes(
         calls in prop::collection::vec((any::<bool>(), 1_u8..4, any::<bool>(), 0_u8..4), 1..40),
@@ -168,7 +168,8 @@
     }
 }
 
-/// A tombstone is retained for its retention time and no longer; a cordon is retained indefinitely.
+/// A tombstone must be removed after its retention time, or memory would grow; a cordon must never be
+/// removed.
 #[test]
 fn tombstones_are_removed_after_ten_minutes_and_cordons_never() {
     let mut state = state_with(&["e", "f"]);
--- a/crates/rate-limits/src/event_window.rs
+++ b/crates/rate-limits/src/event_window.rs
@@ -12,7 +12,7 @@
 pub struct EventWindow(VecDeque<Timestamp>);
 
 impl EventWindow {
-    /// Records an event at `now` and drops events that are older than `span`.
+    /// Records an event at `now` and drops the events more than `span` before `now`.
     pub fn record(&mut self, now: Timestamp, span: TimeDelta) {
         self.0.push_back(now);
         while self.0.front().is_some_and(|time| now - *time > span) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// The number of recorded events later than `start`.
+    /// The number of recorded events later than `start`, events at `start` excluded.
     pub fn count_after(&self, start: Timestamp) -> usize {
         self.0.iter().rev().take_while(|time| **time > start).count()
     }
--- a/crates/rate-limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -1,8 +1,8 @@
 //! Data structures for rate limits and usage statistics: token bucket, sliding windows, moving averages and
 //! an LRU set.
 //!
-//! They hold no policy: callers decide what to do with a count, a sum or an average. None of them reads a
-//! clock: each call takes the current time as an argument.
+//! The structures hold no policy: callers decide what to do with a count, a sum or an average. None of the
+//! structures reads a clock: a call that depends on the time takes the current time as an argument.
 
 pub mod event_window;
 pub mod moving_average;
--- a/crates/rate-limits/src/moving_average.rs
+++ b/crates/rate-limits/src/moving_average.rs
@@ -11,7 +11,7 @@
 pub struct MovingAverage(f64);
 
 impl MovingAverage {
-    /// An average that starts at `initial`.
+    /// Creates an average with the value `initial`, in the unit of the samples.
     pub const fn new(initial: f64) -> MovingAverage {
         MovingAverage(initial)
     }
@@ -37,8 +37,9 @@
     *variance += weight * ((1.0 - weight) * deviation * deviation - *variance);
 }
 
-/// Updates a mean with one sample, and counts the sample. The mean is arithmetic while the weight of a
-/// sample, `1 / samples`, is above `min_weight`, and exponentially weighted with `min_weight` from then on.
+/// Updates a mean with one sample, and counts the sample in `samples`, which saturates. The mean is
+/// arithmetic while the weight of a sample, `1 / samples`, is above `min_weight`, and exponentially weighted
+/// with `min_weight` from then on.
 pub fn update_mean(mean: &mut f64, samples: &mut u32, sample: f64, min_weight: f64) {
     *samples = samples.saturating_add(1);
     let weight = (1.0 / f64::from(*samples)).max(min_weight);
--- a/crates/rate-limits/src/slot_window.rs
+++ b/crates/rate-limits/src/slot_window.rs
@@ -14,9 +14,9 @@
 
 /// A sliding window over slots of equal width, oldest first. Slots without events are not stored.
 ///
-/// The start of the window usually falls inside a slot. A caller that must not count too few events reads
-/// [`overlapping`](SlotWindow::overlapping), which includes that slot whole; a caller that must not count too
-/// many reads [`within`](SlotWindow::within), which excludes it.
+/// The start of the window usually lies inside a slot. A caller that must not count too few events reads
+/// [`overlapping`](SlotWindow::overlapping), which includes this slot completely; a caller that must not
+/// count too many events reads [`within`](SlotWindow::within), which excludes this slot.
 #[derive(Clone, Debug, Default)]
 pub struct SlotWindow<T> {
     span: TimeDelta,
@@ -25,9 +25,9 @@
 }
 
 impl<T: Default> SlotWindow<T> {
-    /// An empty window of length `span`, in slots of `min_width` or, if that would make more than `max_slots`
-    /// slots, in slots of `span / max_slots`. The window may cover the slots at its ends only in part, so
-    /// that up to two more slots are stored.
+    /// Creates an empty window of length `span`. Slots have the width `min_width`, or `span / max_slots` if
+    /// the window would otherwise have more than `max_slots` slots. The window may cover the slots at its
+    /// ends only in part, so that up to two more slots are stored.
     ///
     /// A `max_slots` of 0 counts as 1, and a slot is at least one microsecond wide.
     pub fn new(span: TimeDelta, min_width: TimeDelta, max_slots: u32) -> SlotWindow<T> {
@@ -79,21 +79,21 @@
         self.slots.back()
     }
 
-    /// Moves all slots back in time after the clock was set back; `by` must be a multiple of the slot width.
-    /// Otherwise the slots would lie in the future, and stay in the window for as long as the clock was set
-    /// back by.
+    /// Moves all slots back in time by `by`, a multiple of the slot width, after the clock was set back.
+    /// Without this call, the slots would lie in the future and stay in the window too long, by the time by
+    /// which the clock was set back.
     pub fn shift_back(&mut self, by: TimeDelta) {
         for slot in &mut self.slots {
             slot.start = slot.start - by;
         }
     }
 
-    /// The number of stored slots.
+    /// The number of stored slots, including slots that have left the window since the last event.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether no slot is stored.
+    /// Whether no slot is stored, neither in the window nor before it.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
--- a/crates/rate-limits/src/token_bucket.rs
+++ b/crates/rate-limits/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket.
+//! A token bucket for limits whose rate changes over time.
 
 use serde::{Deserialize, Serialize};
 use sprucelink_time::Timestamp;
@@ -16,10 +16,10 @@
 }
 
 impl TokenBucket {
-    /// Takes one token if the bucket holds one; returns whether it did.
+    /// Takes one token if the bucket holds at least one; returns whether a token was taken.
     ///
-    /// First refills the bucket at `rate` tokens per second for the time since the last call, up to `depth`
-    /// tokens.
+    /// Before that, the bucket is refilled at `rate` tokens per second for the time since the last call, up
+    /// to `depth` tokens.
     pub fn try_take(&mut self, now: Timestamp, rate: f64, depth: f64) -> bool {
         let elapsed = (now - self.refilled_at).as_secs_f64();
         self.level = (self.level + elapsed * rate).min(depth);
--- a/crates/rate-limits/tests/structures.rs
+++ b/crates/rate-limits/tests/structures.rs
@@ -108,8 +108,8 @@
     }
     assert_eq!(window.newest(), Some(&Slot { start: at_millis(100), value: 1 }));
     assert_eq!((window.count_overlapping(at_millis(110)), window.count_within(at_millis(110))), (5, 3));
-    // A slot whose start is the start of the window is partly covered, too: its first instant lies outside of
-    // the window.
+    // A slot that starts exactly at the start of the window also counts as partly covered: its first instant
+    // lies outside the window.
     assert_eq!((window.count_overlapping(at_millis(120)), window.count_within(at_millis(120))), (3, 2));
     assert_eq!((window.count_overlapping(at_millis(300)), window.count_within(at_millis(300))), (0, 0));
 }
--- a/crates/stable-hash/src/lib.rs
+++ b/crates/stable-hash/src/lib.rs
@@ -11,12 +11,13 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The multiplier of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Hashed after each part, so that ("ab", "c") and ("a", "bc") differ. This byte never occurs in UTF-8 text.
+/// Byte that is hashed after each part, so that ("ab", "c") and ("a", "bc") have different hashes. It never
+/// occurs in UTF-8 text.
 const PART_SEPARATOR: u8 = 0xff;
 
 /// A stable 64-bit hash of byte strings (FNV-1a, then the SplitMix64 finaliser, so that the hashes of similar
-/// names spread evenly). It is the same on every machine and release, unlike that of the standard library's
-/// hasher, whose output may change.
+/// names spread evenly). The hash is the same on every machine and release, whereas the output of the
+/// standard library's hasher may change.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hash = FNV_OFFSET_BASIS;
     for part in parts {
@@ -28,7 +29,7 @@
     split_mix::mix(hash)
 }
 
-/// Adds one byte to an FNV-1a hash.
+/// The FNV-1a hash of the bytes hashed so far, followed by `byte`.
 fn fnv_step(hash: u64, byte: u8) -> u64 {
     (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
 }
--- a/crates/stable-hash/src/split_mix.rs
+++ b/crates/stable-hash/src/split_mix.rs
@@ -19,29 +19,30 @@
 pub struct SplitMix64(u64);
 
 impl SplitMix64 {
-    /// A generator that starts at `seed`.
+    /// Creates a generator whose sequence of numbers is determined by `seed`.
     pub const fn new(seed: u64) -> SplitMix64 {
         SplitMix64(seed)
     }
 
-    /// The next number, uniform over all `u64` values.
+    /// The next number of the sequence, uniform over all `u64` values.
     pub fn next_u64(&mut self) -> u64 {
         self.next_u64_with(0)
     }
 
-    /// The next number, mixed with `salt`: generators of one seed give different numbers for different salts.
+    /// The next number of the sequence, mixed with `salt`: generators with the same seed give different
+    /// numbers for different salts. The salt does not affect later numbers.
     pub fn next_u64_with(&mut self, salt: u64) -> u64 {
         self.0 = self.0.wrapping_add(GOLDEN_GAMMA);
         mix(self.0 ^ salt)
     }
 
-    /// The next number in [0, 1), a multiple of 2^-53.
+    /// The next number of the sequence, mapped to the interval [0, 1); a multiple of 2^-53.
     pub fn next_f64(&mut self) -> f64 {
         crate::unit_interval(self.next_u64())
     }
 
-    /// Draws up to `count` items without replacement, each of the remaining items with equal probability. The
-    /// last item of the pool takes the place of each drawn item.
+    /// Removes up to `count` items from the pool and returns them, each drawn from the remaining items with
+    /// equal probability. The last item of the pool takes the place of each drawn item.
     pub fn draw<T>(&mut self, pool: &mut Vec<T>, count: usize) -> Vec<T> {
         let mut drawn = Vec::new();
         for _ in 0..pool.len().min(count) {
@@ -52,8 +53,8 @@
     }
 }
 
-/// The index drawn by `unit`, a uniform random number in [0, 1), where the probability of each index is
-/// proportional to its weight.
+/// The index that corresponds to `unit`, a uniform random number in [0, 1), if the probability of each index
+/// is proportional to its weight.
 ///
 /// Weights must not be negative. If rounding puts the draw beyond the last weight, or a weight is NaN,
 /// returns the last index. Returns `None` if there are no weights.
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Neg, Sub};
 
-/// A point in time on the caller's clock: microseconds since that clock's origin.
+/// A point in time on the caller's clock, in microseconds since the clock's origin. Arithmetic saturates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Timestamp(i64);
@@ -55,7 +55,7 @@
 }
 
 impl TimeDelta {
-    /// The empty span.
+    /// The span of length zero.
     pub const ZERO: TimeDelta = TimeDelta(0);
     /// The longest representable span.
     pub const MAX: TimeDelta = TimeDelta(i64::MAX);
