--- a/crates/cordon/src/known_ids.rs
+++ b/crates/cordon/src/known_ids.rs
@@ -6,9 +6,9 @@
 #[cfg(test)]
 mod tests;
 
-/// The hash of an engine id. It is the same on every machine and in every release, because processes exchange
-/// it. With 16,384 ids remembered, an id that was never listed collides with one of them with probability
-/// 2^-50.
+/// The hash of an engine id, which is the same on every machine and in every release, because processes
+/// exchange these hashes. With 16,384 ids remembered, an id that was never listed collides with a remembered
+/// id with probability 2^-50.
 pub fn engine_id_hash(id: &str) -> u64 {
     stable_hash(&[id.as_bytes()])
 }
--- a/crates/cordon/src/lamport_clock.rs
+++ b/crates/cordon/src/lamport_clock.rs
@@ -6,7 +6,7 @@
 /// versions.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LamportClock {
-    /// The highest version issued by this process or received from another one.
+    /// The highest version issued by this process or received from another process.
     highest_version: u64,
 }
 
--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -1,4 +1,5 @@
-//! Compares any sequence of calls, endpoint list events and time steps with a reference model.
+//! Tests that any sequence of calls, endpoint list events and time steps has the same results as in a
+//! reference model.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -162,6 +163,8 @@
     }
 }
 
+/// Checks the manager's state, the cordoned engines, the known engines and the active causes against the
+/// model.
 fn assert_matches_model(
     real: &CordonState,
     model: &ReferenceModel,
--- a/crates/rate-limits/src/slot_window.rs
+++ b/crates/rate-limits/src/slot_window.rs
@@ -93,7 +93,7 @@
         self.slots.len()
     }
 
-    /// Whether no slot is stored, neither in the window nor before it.
+    /// Whether no slot is stored.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -1,4 +1,4 @@
-//! Decides which changes of a new endpoint list are applied to the current one.
+//! Decides which changes of a new endpoint list are applied to the current list.
 //!
 //! While the control feed recovers (from a backup, or because a replica lags) it may send a list that is
 //! older than the current list, or that contradicts itself. If such a list were applied unchecked, it would
--- a/crates/zone-failover/src/config.rs
+++ b/crates/zone-failover/src/config.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FailoverConfig {
-    /// Whether failover is on; if off, zones do not affect the selection of engines.
+    /// Whether failover is on; if it is off, requests are not weighted by zone.
     pub enabled: bool,
     /// Overprovisioning factor (Envoy's default: 1.4); 1 to 10. A zone counts as able to serve all its
     /// requests while its healthy cores times this factor are at least its known cores, and its load in
@@ -26,11 +26,11 @@
     #[serde(rename = "lost_below")]
     pub min_listed_fraction: f64,
     /// Smallest number of unresponsive engines for which this manager's own observations eject their zone; 1
-    /// to 1,000.
+    /// to 1,000. In a zone with fewer engines, all of them must be unresponsive.
     #[serde(rename = "mute_least")]
     pub min_unresponsive_engines: u32,
-    /// Smallest fraction of unresponsive engines, among the responsive and unresponsive ones, for which this
-    /// manager's own observations eject their zone; 0.5 to 1.
+    /// Smallest fraction of unresponsive engines, among the responsive and unresponsive engines of a zone,
+    /// for which this manager's own observations eject the zone; 0.5 to 1.
     #[serde(rename = "mute_share")]
     pub min_unresponsive_fraction: f64,
     /// Smallest number of managers outside a zone that must report on the zone for their quorum to decide,
--- a/crates/zone-failover/src/event.rs
+++ b/crates/zone-failover/src/event.rs
@@ -12,7 +12,7 @@
         /// The change, with its reason.
         change: HealthChange,
     },
-    /// This manager's own zone became isolated from all others.
+    /// This manager's own zone became isolated from all other zones.
     Isolated {
         /// Index of the zone.
         zone: u32,
--- a/crates/zone-failover/src/observation.rs
+++ b/crates/zone-failover/src/observation.rs
@@ -10,8 +10,8 @@
     pub region: u32,
     /// Cores of the engines that the endpoint list names as accepting work.
     pub listed_cores: f64,
-    /// Cores of the healthy engines among the listed ones, each engine's cores times the fraction of its
-    /// capacity that is warm.
+    /// Cores of the healthy engines among the listed engines: the sum of each engine's cores times the
+    /// fraction of its capacity that is warm.
     pub healthy_cores: f64,
     /// Estimated number of threads that run on the listed engines.
     pub load: f64,
--- a/crates/zone-failover/src/weights.rs
+++ b/crates/zone-failover/src/weights.rs
@@ -27,7 +27,7 @@
     pub distance: Distance,
     /// Known cores: the maximum that was listed recently.
     pub known_cores: f64,
-    /// Healthy, warm cores: none of them count while the zone is ejected, and a rising fraction while it
+    /// Healthy, warm cores: 0 while the zone is ejected, and a rising fraction of them while the zone
     /// recovers.
     pub healthy_cores: f64,
     /// Smoothed load, in threads that run on the zone's engines.
--- a/src/core/api.rs
+++ b/src/core/api.rs
@@ -39,7 +39,7 @@
     pub zones: Vec<String>,
     /// Names of the machine kinds, in the order of their indices.
     pub kinds: Vec<String>,
-    /// Bounds and timeouts of connections to engines.
+    /// Limits and timeouts of connections to engines.
     pub limits: ConnectionLimits,
     /// Pool of the buffers for statements, results and the bytes of connections.
     pub pool: BufferPool,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Starts counting the facts that are gossiped to other managers.
+    /// Starts counting the facts that are gossiped to other managers, in windows of the given lengths.
     pub fn enable_gossip(&self, windows: GossipWindows) {
         self.coordinator.borrow_mut().enable_gossip(windows);
     }
@@ -217,7 +217,7 @@
         self.coordinator.borrow().monitor.record_violation(now(), rule, detail);
     }
 
-    /// Counts as violations the requests that clients still wait for when the process ends.
+    /// Counts each request that a client still waits for as a violation, because the process is about to end.
     pub fn check_nothing_pending(&self) {
         self.coordinator.borrow().check_nothing_pending();
     }
@@ -265,7 +265,7 @@
         self.coordinator.borrow().engine_counts()
     }
 
-    /// Runs timers, cancellations and deadlines as they become due, until the process ends.
+    /// Processes timers, cancellations and deadlines as they become due; never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
             tokio::select! {
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -17,8 +17,8 @@
     *started_at + TimeDelta::from_micros(elapsed)
 }
 
-/// The difference between [`now`] and the machine's monotonic clock, which all processes of the machine
-/// share. It is constant within a process.
+/// The difference between [`now`] and the machine's monotonic clock, by which processes of one machine
+/// convert each other's times: they share the monotonic clock. The difference is constant within a process.
 pub fn machine_clock_offset() -> TimeDelta {
     static OFFSET: OnceLock<TimeDelta> = OnceLock::new();
     *OFFSET.get_or_init(|| {
@@ -33,7 +33,7 @@
     Timestamp::from_micros(i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX))
 }
 
-/// A span as a duration to sleep; zero if it is negative.
+/// Converts a span to a duration, for a sleep or timeout; zero if the span is negative.
 pub fn to_duration(span: TimeDelta) -> Duration {
     Duration::from_micros(span.as_micros().max(0) as u64)
 }
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -154,8 +154,8 @@
     }
 }
 
-/// Writes the queued commands. The next bytes are looked up before each write and never kept across a wait,
-/// because their attempt may be withdrawn in the meantime.
+/// Writes the queued commands. The next bytes to write are determined before each write and never kept across
+/// a wait, because their attempt may be withdrawn during the wait.
 async fn write<O: ConnectionOwner>(
     owner: &Rc<O>,
     connection: &EngineConnection,
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -62,7 +62,7 @@
         let Some(request) = self.requests.get_mut(id) else { return Vec::new() };
         let attempt = request.attempts;
         request.attempts += 1;
-        // Nothing is sent after the final response, even if the policy requests it.
+        // Nothing is sent after the final response, even if the policy requests an attempt.
         if !request.is_awaited() {
             let request = format_request_id(id);
             error!(request, "send for completed request dropped");
@@ -178,7 +178,8 @@
     }
 
     /// Queues the command of an attempt again, with the time that is left, if the deadline in the command
-    /// exceeds the client's by more than [`MAX_DEADLINE_EXCESS`]. Returns whether it was queued again.
+    /// exceeds the client's deadline by more than [`MAX_DEADLINE_EXCESS`]. Returns whether it was queued
+    /// again.
     fn requeue_if_delayed(
         &mut self,
         now: Timestamp,
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Cancels an attempt; returns false if it is not in flight or already cancelled.
+    /// Cancels an attempt; returns false if it is not in flight or is already cancelled.
     pub(super) fn cancel_attempt(&mut self, pool: &BufferPool, id: u64, attempt: u32) -> bool {
         let in_flight = self.requests.attempt_mut(id, attempt).filter(|a| a.cancellation.is_none());
         let Some(in_flight) = in_flight else { return false };
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -80,7 +80,7 @@
         ids.len()
     }
 
-    /// Counts as violations the requests that clients still wait for when the process ends.
+    /// Counts each request that a client still waits for as a violation, because the process is about to end.
     pub(in crate::core) fn check_nothing_pending(&self) {
         for id in self.requests.awaited_ids() {
             self.monitor.record_violation(now(), Invariant::PendingAtExit, &format_request_id(id));
@@ -106,8 +106,8 @@
     }
 }
 
-/// The reason for the failure of a request: its deadline if it has passed or is close, otherwise derived from
-/// the outcome of the last attempt.
+/// The reason for the failure of a request: [`UnservedReason::DeadlineExceeded`] if its deadline has passed
+/// or is close, otherwise the reason that corresponds to the outcome of the last attempt.
 fn failure_reason(request: &PendingRequest) -> UnservedReason {
     if request.deadline - now() < DEADLINE_MARGIN {
         return UnservedReason::DeadlineExceeded;
--- a/src/core/coordinator/sending_tests.rs
+++ b/src/core/coordinator/sending_tests.rs
@@ -70,7 +70,7 @@
 }
 
 /// Nothing may be sent to a draining engine. Attempts that are queued behind a peer that reads nothing would
-/// be sent once the peer reads again, perhaps minutes later. They never ran, so they are retried.
+/// be sent once the peer reads again, perhaps minutes later. They never ran, so their requests are retried.
 #[test]
 fn attempts_behind_a_slow_peer_are_withdrawn_when_their_engine_drains() {
     run_local(async {
@@ -152,7 +152,7 @@
 }
 
 /// The state may change after the policy has selected an engine, so an attempt is checked just before its
-/// first byte, and not after its first byte.
+/// first byte. After its first byte it is not checked again.
 #[test]
 fn attempt_is_checked_just_before_its_first_byte() {
     run_local(async {
--- a/src/core/coordinator/tests.rs
+++ b/src/core/coordinator/tests.rs
@@ -118,7 +118,7 @@
     });
 }
 
-/// A second response is dropped, whichever part of the core gives it.
+/// A second response to a request is dropped, and the client gets the first one.
 #[test]
 fn request_has_one_final_response() {
     run_local(async {
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -26,9 +26,9 @@
 /// idle connection at the full timeout, and an attempt that is sent while the close is on its way would count
 /// as one that may have run.
 const IDLE_FRACTION: f64 = 0.8;
-/// Number of progress notes that may be missing in a row before the connection accepts no further attempts.
-/// The limit applies to one connection; the policy has shorter limits of its own for engines and zones that
-/// do not answer (`outlier_detection`, `engine_health`).
+/// Number of consecutive missing progress notes after which a connection accepts no further attempts. The
+/// limit applies to one connection; the policy has shorter limits of its own for engines and zones that do
+/// not answer (`outlier_detection`, `engine_health`).
 const MAX_MISSED_NOTES: i64 = 3;
 /// Number of requests with an attempt that ended unserved on one connection at which the connection is
 /// retired, which bounds the memory for their ids.
@@ -70,7 +70,7 @@
     is_withdrawn: bool,
 }
 
-/// The result of withdrawing an attempt.
+/// The result of a request to withdraw an attempt before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
     /// No byte of the attempt's command was sent, and none will be.
@@ -93,10 +93,10 @@
     pub is_unsent: bool,
 }
 
-/// One connection to an engine.
+/// The state of one connection to an engine, shared by the task that serves it and the coordinator.
 #[derive(Debug)]
 pub struct EngineConnection {
-    /// Index of the engine.
+    /// Index of the engine in the engine table.
     pub engine: usize,
     address: SocketAddr,
     state: Cell<State>,
@@ -107,7 +107,7 @@
     /// Ids of the requests with an attempt that ended unserved on this connection: the engine may still
     /// answer that attempt.
     unserved: RefCell<BTreeSet<u64>>,
-    /// Time at which the engine last sent bytes or the last attempt ended, whichever is later.
+    /// Time at which the engine last sent bytes or the connection's last attempt ended, whichever is later.
     last_active_at: Cell<Timestamp>,
     /// Time from which the connection may be dialed.
     dial_time: Cell<Timestamp>,
@@ -131,9 +131,9 @@
         })
     }
 
-    /// Whether the connection may carry an attempt of request `id`. It may not if an earlier attempt of the
-    /// request ended unserved on it: a late answer to that attempt could not be distinguished from an answer
-    /// to the new attempt.
+    /// Whether the connection may carry an attempt of request `id`. It may not carry the attempt if an
+    /// earlier attempt of the request ended unserved on the connection: a late answer to the earlier attempt
+    /// could not be distinguished from an answer to the new attempt.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
         !self.is_closed()
             && !self.is_retired.get()
@@ -142,7 +142,7 @@
             && !self.has_ended_unserved(id)
     }
 
-    /// Whether more progress notes on an attempt are missing than [`MAX_MISSED_NOTES`]: the connection to a
+    /// Whether [`MAX_MISSED_NOTES`] consecutive progress notes on an attempt are missing: the connection to a
     /// machine that has failed stays open and silent.
     fn is_unresponsive(&self, limits: &ConnectionLimits) -> bool {
         let max_silence = TimeDelta::from_micros(limits.note_interval.as_micros() * MAX_MISSED_NOTES);
@@ -166,7 +166,7 @@
         self.dial_time.get()
     }
 
-    /// Address at which the engine listens.
+    /// Address of the engine that is dialed.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
@@ -261,7 +261,7 @@
         true
     }
 
-    /// Offset of the end of the queued commands, in bytes.
+    /// Offset in the stream at which the last queued command ends, in bytes.
     pub fn queued_end(&self) -> u64 {
         self.send_queue.borrow().queued_end()
     }
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -62,8 +62,8 @@
 }
 
 impl SendQueue {
-    /// Queues a command, in the last buffer if it has capacity and otherwise in a buffer from `buffer`;
-    /// returns false if no buffer has capacity.
+    /// Queues a command, in the last buffer if that buffer has capacity and otherwise in a buffer that
+    /// `buffer` returns; returns false if neither has capacity.
     pub(super) fn push_command(&mut self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buffer>) -> bool {
         let size = FRAMING_BYTES + parts.iter().map(|part| part.len() + FRAMING_BYTES).sum::<usize>();
         if !self.buffers.back().is_some_and(|last| last.has_capacity(size)) {
@@ -93,7 +93,7 @@
         self.written_end
     }
 
-    /// The ids of the requests whose commands were not sent completely.
+    /// The ids of the requests whose commands are neither sent completely nor withdrawn.
     pub(super) fn unsent_ids(&self) -> Vec<u64> {
         self.unsent.iter().map(|command| command.id).collect()
     }
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -56,7 +56,7 @@
     assert!(pool.get().is_none());
     let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
     assert!(!connection.send(&pool, 1, 0, &[b"do"]) && connection.attempt_count() == 0);
-    // Without its cancellation, an attempt would run concurrently with the next one.
+    // Without its cancellation, an attempt would run concurrently with the request's next attempt.
     connection.command(&pool, &[b"undo"]);
     assert!(connection.queued_end() > 0 && !connection.has_passed(connection.queued_end()));
     drop(only_buffer);
--- a/src/core/engine_indices.rs
+++ b/src/core/engine_indices.rs
@@ -1,4 +1,4 @@
-//! The indices of engines.
+//! Assigns indices to engines.
 //!
 //! Input: the ids of engines, and the indices of gone engines. Output: an index for each engine, and the
 //! changes for the recorder. State: the indices in use and the freed indices. New engine ids may keep
@@ -16,7 +16,7 @@
     pub(super) is_freed: bool,
 }
 
-/// The indices of engines, by id.
+/// The indices assigned to engines, and the freed indices.
 #[derive(Default)]
 pub(super) struct EngineIndices {
     by_id: BTreeMap<String, u32>,
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -37,11 +37,12 @@
     pub(super) removed_at: Option<Timestamp>,
     /// Time at which the engine ceased to be listed as ready or was cordoned; `None` while it is ready.
     pub(super) not_ready_since: Option<Timestamp>,
-    /// Time at which the engine last answered.
+    /// Time at which the engine last answered; `None` if it never did.
     pub(super) last_answered_at: Option<Timestamp>,
     /// The engine's last entry in the list, before cordons are applied.
     pub(super) listed_entry: Option<Endpoint>,
-    /// Whether the engine is listed as ready and not cordoned, which attempts to it require.
+    /// Whether the engine is listed as ready and not cordoned; otherwise no attempt may be sent to the
+    /// engine.
     pub(super) is_ready: bool,
     /// Number of the last event that named the engine.
     pub(super) last_event: u64,
@@ -71,8 +72,9 @@
         has_moved
     }
 
-    /// A connection that accepts a request: an open connection rather than one that is being dialed, and of
-    /// these the one with the most attempts, so that the other connections become idle and are closed.
+    /// A connection that accepts a request; `None` if there is none. An open connection is preferred to one
+    /// that is being dialed, and then the connection with the most attempts, so that the other connections
+    /// become idle and are closed.
     pub(super) fn reusable_connection(
         &self,
         id: u64,
@@ -88,7 +90,7 @@
     /// `may_add_connection`: whether the connections to all engines are below their limit.
     ///
     /// # Errors
-    /// The outcome of the attempt, if no connection is available for it.
+    /// The outcome of the attempt, if the engine's address is unknown or a limit on connections is reached.
     pub(super) fn add_connection(
         &mut self,
         engine: usize,
@@ -96,8 +98,8 @@
         may_add_connection: bool,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let address = self.address.ok_or(AttemptOutcome::Unreachable)?;
-        // Connections to engines have a separate limit of file descriptors, so that they cannot exhaust those
-        // of clients.
+        // Connections to engines have a separate limit, so that they cannot exhaust the file descriptors for
+        // connections of clients.
         if self.connections.len() >= limits.max_per_engine || !may_add_connection {
             return Err(AttemptOutcome::NeverRan);
         }
@@ -148,7 +150,7 @@
         &mut self.engines[engine]
     }
 
-    /// All engines, by index.
+    /// All engines in the order of their indices. An index that is free has an empty engine.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter()
     }
@@ -173,7 +175,7 @@
         self.last_event
     }
 
-    /// Records the number of an event that does not change the table.
+    /// Records the number of an event that is skipped, so that the next poll continues after it.
     pub(super) fn skip_event(&mut self, event: u64) {
         self.last_event = self.last_event.max(event);
     }
--- a/src/core/fleet_state.rs
+++ b/src/core/fleet_state.rs
@@ -16,7 +16,8 @@
 pub(super) struct FleetState {
     /// The number of managers, this one included.
     managers: u32,
-    /// The number of this manager's processes, among which its share of the fleet is divided.
+    /// The number of this manager's processes, among which its share of the fleet's capacity and budgets is
+    /// divided.
     processes: u32,
     /// Retries that this manager may make in the retry budget's window beyond its own budget, because the
     /// other managers have not used theirs.
--- a/src/core/gossip_facts.rs
+++ b/src/core/gossip_facts.rs
@@ -25,7 +25,7 @@
     pub retry_budget: TimeDelta,
     /// Window of the slow-start budget.
     pub slow_start_window: TimeDelta,
-    /// Time that the slow start of an engine takes.
+    /// Length of an engine's slow start, from the engine's start.
     pub slow_start_duration: TimeDelta,
 }
 
@@ -52,7 +52,7 @@
     unreachable: BTreeMap<u64, Timestamp>,
 }
 
-/// Adds an event, and drops the oldest one if there are [`MAX_EVENTS`].
+/// Adds an event, and drops the oldest event if there are already [`MAX_EVENTS`].
 fn push_bounded<T>(queue: &mut VecDeque<T>, event: T) {
     if queue.len() >= MAX_EVENTS {
         queue.pop_front();
@@ -60,7 +60,7 @@
     queue.push_back(event);
 }
 
-/// Drops events that are older than a window; returns the number of the remaining events.
+/// Drops the events more than `window` before `now`; returns the number of the remaining events.
 fn count_recent(events: &mut VecDeque<Timestamp>, now: Timestamp, window: TimeDelta) -> u32 {
     while events.front().is_some_and(|at| now - *at > window) {
         events.pop_front();
@@ -69,7 +69,7 @@
 }
 
 impl GossipFacts {
-    /// Creates facts without events.
+    /// Creates facts without events, which are counted in `windows`.
     pub(super) fn new(windows: GossipWindows) -> GossipFacts {
         GossipFacts {
             windows,
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use tracing::error;
 
-/// Time by which the platform allows the deadline given to an engine to exceed the client's.
+/// Time by which the platform allows the deadline given to an engine to exceed the client's deadline.
 const DEADLINE_SLACK: TimeDelta = TimeDelta::from_millis(150);
 /// Time after the drain grace within which the platform's protocol still allows an attempt to be sent to a
 /// draining engine.
@@ -26,7 +26,7 @@
 const MAX_WINDOW_EVENTS: usize = 65_536;
 /// Limit on the violations that are logged in one [`LOG_WINDOW`]; all violations are counted.
 const MAX_LOGGED: u32 = 20;
-/// Window to which [`MAX_LOGGED`] applies.
+/// Length of the window to which [`MAX_LOGGED`] applies.
 const LOG_WINDOW: TimeDelta = TimeDelta::from_secs(10);
 
 /// A rule whose violations are counted.
@@ -110,7 +110,8 @@
 struct SentRequest {
     /// The attempt in flight: its number, and the time at which its first byte was sent.
     in_flight: Option<(u32, Timestamp)>,
-    /// Time at which the first byte of the first attempt that may have run was sent.
+    /// Time at which the first byte of the first attempt that may have run was sent; `None` if none may have
+    /// run.
     may_have_run_since: Option<Timestamp>,
 }
 
@@ -124,8 +125,8 @@
     /// Number of violations logged since `logged_since`.
     logged: Cell<u32>,
     drain_grace: TimeDelta,
-    /// Effect and deduplication window of each class. The monitor compares them itself and doesn't call
-    /// [`RetryRule::may_run_again`].
+    /// Effect and deduplication window of each class, by class index. The monitor evaluates them itself and
+    /// does not call [`RetryRule::may_run_again`].
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
     /// Times of requests in the retry budget's window. The monitor's windows are separate from the send
@@ -133,7 +134,8 @@
     requests: VecDeque<Timestamp>,
     /// Times of the first bytes of retries in the retry budget's window.
     retries: VecDeque<Timestamp>,
-    /// Requests with an attempt whose first byte was sent, by id. Bounded by the pending requests.
+    /// Requests with an attempt whose first byte was sent, by id. Their number is bounded by the number of
+    /// pending requests.
     sent_requests: BTreeMap<u64, SentRequest>,
 }
 
--- a/src/core/recent_requests.rs
+++ b/src/core/recent_requests.rs
@@ -9,7 +9,7 @@
 
 /// Time after the submission of a request for which its id and the hash of its statement are kept.
 const RETENTION: TimeDelta = TimeDelta::from_secs(30);
-/// Limit on the kept ids; the oldest are dropped first.
+/// Limit on the number of ids that are kept; the oldest are dropped first.
 const MAX_IDS: usize = 20_000;
 
 /// The ids of recently submitted requests, each with a hash of its statement.
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -107,7 +107,7 @@
         self.requests.insert(id, request);
     }
 
-    /// The number of pending requests.
+    /// The number of requests without a final response or with an attempt that has not ended.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
@@ -192,7 +192,7 @@
         self.deadlines.pop_first().map(|(_, id)| id)
     }
 
-    /// Time at which the next deadline or check of a cancellation is due.
+    /// Time at which the next deadline or check of a cancellation is due; `None` without pending requests.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let cancellation = self.cancellations.first().map(|(at, ..)| *at);
--- a/src/core/result_buffer.rs
+++ b/src/core/result_buffer.rs
@@ -40,7 +40,7 @@
 }
 
 impl ResultSet {
-    /// Sets the number of pages; none of them has arrived yet.
+    /// Sets the number of pages, none of which has arrived yet.
     pub(super) fn expect_pages(&mut self, pages: usize) {
         self.pages = vec![None; pages];
     }
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -42,7 +42,7 @@
 pub(super) struct OutgoingAttempt {
     /// Whether the request has no final response and its client is still connected.
     pub(super) request_is_awaited: bool,
-    /// Time at which the client stops waiting.
+    /// Time at which the client stops waiting for a response.
     pub(super) deadline: Timestamp,
     /// Index of the request's class.
     pub(super) class: usize,
@@ -68,7 +68,8 @@
     /// (`RetryBudget`), which counts a retry when the policy decides on it, even if the attempt is withdrawn
     /// before its first byte.
     retries: SlotWindow<u32>,
-    /// Time from which this process rejects all requests; `None` until it shuts down.
+    /// Time from which this process rejects all requests and sends nothing; `None` until it begins to shut
+    /// down.
     shutdown_deadline: Option<Timestamp>,
 }
 
--- a/src/core/send_guard/tests.rs
+++ b/src/core/send_guard/tests.rs
@@ -119,7 +119,7 @@
             }
             guard.record_first_byte(now, true);
             retries.push(now);
-            // Each retry, itself included, must be within the budget.
+            // The retries in the window, this retry included, must be within the budget.
             let from = now - budget.window;
             let count = |all: &[Timestamp]| all.iter().filter(|at| **at > from).count() as f64;
             if count(&retries) > budget.free_retries + budget.retries_per_request * count(&requests) + 1e-9 {
--- a/src/core/socket.rs
+++ b/src/core/socket.rs
@@ -32,7 +32,7 @@
 }
 
 impl SocketReader {
-    /// Wraps the reading half of a connection.
+    /// Wraps the reading half of a connection, on which Nagle's algorithm is left unchanged.
     pub fn new(reader: OwnedReadHalf) -> SocketReader {
         SocketReader(reader)
     }
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -19,8 +19,8 @@
 
 /// Time between two checks of the zones.
 const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// The policy is notified if a weight changes by more than this fraction of its last reported value. The same
-/// number is the smallest value to which the fraction is applied.
+/// Smallest relative change of a weight of which the policy is notified. The change is relative to the last
+/// reported weight, or to this constant if that weight is lower.
 const MIN_WEIGHT_CHANGE: f64 = 0.01;
 
 /// Another manager that observes engines, as reported by the membership.
