--- a/crates/startup/src/admission.rs
+++ b/crates/startup/src/admission.rs
@@ -96,7 +96,7 @@
     /// Exponentially weighted mean latency of served requests, in seconds.
     mean_latency: f64,
     /// Whether warm-up is over.
-    finished: bool,
+    is_finished: bool,
     /// Number of requests rejected since the start.
     rejected: u64,
 }
@@ -110,7 +110,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT),
             limit: config.initial_limit,
             mean_latency: INITIAL_LATENCY.as_secs_f64(),
-            finished: config.warmup_ms <= 0.0,
+            is_finished: config.warmup_ms <= 0.0,
             rejected: 0,
             config,
         }
@@ -121,8 +121,8 @@
     /// # Errors
     /// Returns the Retry-After if the request is rejected.
     pub fn admit(&mut self, now: Timestamp, pending: usize) -> Result<(), TimeDelta> {
-        self.finished |= now >= self.warmup_ends_at;
-        if self.finished || (pending as f64) < self.limit {
+        self.is_finished |= now >= self.warmup_ends_at;
+        if self.is_finished || (pending as f64) < self.limit {
             return Ok(());
         }
         self.rejected += 1;
@@ -135,7 +135,7 @@
     pub fn record_served(&mut self, latency: TimeDelta) {
         self.mean_latency += LATENCY_WEIGHT * (latency.as_secs_f64().max(0.0) - self.mean_latency);
         self.limit = (self.limit + self.config.increase).min(self.config.max_limit);
-        self.finished |= self.limit >= self.config.max_limit;
+        self.is_finished |= self.limit >= self.config.max_limit;
     }
 
     /// Records that an engine rejected an attempt as full or failed it, which lowers the limit.
@@ -145,7 +145,7 @@
 
     /// Whether warm-up is over, so that [`WarmupAdmission::admit`] rejects no more requests.
     pub fn is_finished(&self) -> bool {
-        self.finished
+        self.is_finished
     }
 
     /// Number of requests rejected since the start.
--- a/crates/startup/src/endpoint_poller.rs
+++ b/crates/startup/src/endpoint_poller.rs
@@ -4,9 +4,9 @@
 //! that start together, or lose the feed together, would poll it in the same milliseconds. Hence:
 //!
 //! - the first poll is spread by full jitter over a window that grows with the configured fleet size:
-//!   `fleet / fleet_rate` seconds, at most `max_window_ms`;
+//!   `fleet_size / fleet_rate` seconds, at most `max_window_ms`;
 //! - each poll takes a token from a bucket that refills at this manager's share of the fleet's rate,
-//!   `fleet_rate / fleet` tokens per second, and holds `burst` tokens;
+//!   `fleet_rate / fleet_size` tokens per second, and holds `burst` tokens;
 //! - a failed poll is retried with the backoff `failed` (short, since most failures are transient), and a
 //!   poll that the feed rejected (HTTP 429 or 503) with the backoff `rejected` (gRPC's values);
 //! - no first poll waits longer than `max_window_ms`, and no delay after a poll that was answered or failed
@@ -116,34 +116,34 @@
 pub struct EndpointPoller {
     config: EndpointPollerConfig,
     /// Configured number of managers, at least 1.
-    fleet: f64,
+    fleet_size: f64,
     rng: ChaCha8Rng,
     next_poll_at: Timestamp,
     /// Tokens in the bucket; negative after polls that started without a token.
     tokens: f64,
     refilled_at: Timestamp,
-    failed: Backoff,
-    rejected: Backoff,
-    in_flight: bool,
+    failure_backoff: Backoff,
+    rejection_backoff: Backoff,
+    is_in_flight: bool,
     last_answered_at: Option<Timestamp>,
     started_at: Timestamp,
     polls: u64,
 }
 
 impl EndpointPoller {
-    /// Creates the schedule of a manager that starts at `now`. `fleet`: the configured number of managers, 0
-    /// counts as 1; `seed`: seed of the jitter.
-    pub fn new(config: EndpointPollerConfig, fleet: u32, seed: u64, now: Timestamp) -> EndpointPoller {
+    /// Creates the schedule of a manager that starts at `now`. `fleet_size`: the configured number of
+    /// managers, 0 counts as 1; `seed`: seed of the jitter.
+    pub fn new(config: EndpointPollerConfig, fleet_size: u32, seed: u64, now: Timestamp) -> EndpointPoller {
         let mut poller = EndpointPoller {
             config,
-            fleet: f64::from(fleet.max(1)),
+            fleet_size: f64::from(fleet_size.max(1)),
             rng: ChaCha8Rng::seed_from_u64(seed),
             next_poll_at: now,
             tokens: config.burst,
             refilled_at: now,
-            failed: Backoff::new(config.failed),
-            rejected: Backoff::new(config.rejected),
-            in_flight: false,
+            failure_backoff: Backoff::new(config.failed),
+            rejection_backoff: Backoff::new(config.rejected),
+            is_in_flight: false,
             last_answered_at: None,
             started_at: now,
             polls: 0,
@@ -156,47 +156,47 @@
     /// The window over which the fleet's first polls are spread. Polls after an answer are spread over the
     /// same window, up to `max_delay_ms`.
     pub fn first_poll_window(&self) -> TimeDelta {
-        let fleet_seconds = self.fleet / self.config.fleet_rate;
+        let fleet_seconds = self.fleet_size / self.config.fleet_rate;
         TimeDelta::from_secs_f64(fleet_seconds.min(self.config.max_window_ms / 1_000.0))
     }
 
     /// Time at which the next poll may start; `None` while a poll is in flight.
     pub fn next_poll_at(&self) -> Option<Timestamp> {
-        (!self.in_flight).then_some(self.next_poll_at)
+        (!self.is_in_flight).then_some(self.next_poll_at)
     }
 
     /// Starts a poll if a poll is due; returns whether the poll was started. The poll takes a token, or
     /// starts without a token if waiting for one would exceed `max_delay_ms` (drains take precedence over the
     /// rate).
     pub fn try_start(&mut self, now: Timestamp) -> bool {
-        if self.in_flight || now < self.next_poll_at {
+        if self.is_in_flight || now < self.next_poll_at {
             return false;
         }
         self.refill(now);
         self.tokens = (self.tokens - 1.0).max(-self.config.burst);
-        self.in_flight = true;
+        self.is_in_flight = true;
         self.polls += 1;
         true
     }
 
     /// Records the outcome of the poll in flight; returns the time at which the next poll may start.
     pub fn complete(&mut self, now: Timestamp, outcome: PollOutcome) -> Timestamp {
-        self.in_flight = false;
+        self.is_in_flight = false;
         self.refill(now);
         let max_delay = from_millis(self.config.max_delay_ms);
         let delay = match outcome {
             PollOutcome::Answered => {
                 self.last_answered_at = Some(now);
-                self.failed.reset();
-                self.rejected.reset();
+                self.failure_backoff.reset();
+                self.rejection_backoff.reset();
                 self.delay_after_answer(max_delay)
             }
             PollOutcome::Failed => {
-                let backoff = self.failed.record_failure(&mut self.rng);
+                let backoff = self.failure_backoff.record_failure(&mut self.rng);
                 backoff.max(self.token_wait()).min(max_delay)
             }
             PollOutcome::Rejected => {
-                let backoff = self.rejected.record_failure(&mut self.rng);
+                let backoff = self.rejection_backoff.record_failure(&mut self.rng);
                 backoff.max(self.token_wait())
             }
         };
@@ -236,7 +236,7 @@
 
     /// This manager's share of the fleet's rate, in polls per second.
     fn manager_rate(&self) -> f64 {
-        self.config.fleet_rate / self.fleet
+        self.config.fleet_rate / self.fleet_size
     }
 
     /// Time since the last answered poll, or since the start if no poll was answered yet.
@@ -251,6 +251,6 @@
 
     /// Number of failed and rejected polls since the last answered poll.
     pub fn consecutive_failures(&self) -> u32 {
-        self.failed.failures() + self.rejected.failures()
+        self.failure_backoff.failures() + self.rejection_backoff.failures()
     }
 }
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -161,17 +161,17 @@
     connection: &EngineConnection,
     writer: OwnedWriteHalf,
 ) -> ConnectionEnd {
-    let mut current: Option<QueuedBuffer> = None;
+    let mut current_buffer: Option<QueuedBuffer> = None;
     loop {
         if connection.is_closed() {
             return ConnectionEnd::remote("closed by this process");
         }
         let limit = connection.skip_withdrawn();
         let offset = connection.written_end();
-        current = current.filter(|buffer| buffer.end() > offset);
-        let Some(buffer) = &current else {
-            current = connection.next_buffer();
-            if current.is_none() {
+        current_buffer = current_buffer.filter(|buffer| buffer.end() > offset);
+        let Some(buffer) = &current_buffer else {
+            current_buffer = connection.next_buffer();
+            if current_buffer.is_none() {
                 connection.wait_for_work().await;
             }
             continue;
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -220,8 +220,8 @@
         }
     }
 
-    fn queue_command(&self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buffer>) -> bool {
-        let is_queued = self.send_queue.borrow_mut().push_command(parts, buffer);
+    fn queue_command(&self, parts: &[&[u8]], take_buffer: impl FnOnce() -> Option<Buffer>) -> bool {
+        let is_queued = self.send_queue.borrow_mut().push_command(parts, take_buffer);
         if is_queued {
             self.wake.notify_one();
         }
--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -243,8 +243,14 @@
         }
     }
 
-    fn check_effect(&self, now: Timestamp, sent: &SentAttempt, may_have_run: Option<Timestamp>, name: &str) {
-        let Some(since) = may_have_run else { return };
+    fn check_effect(
+        &self,
+        now: Timestamp,
+        sent: &SentAttempt,
+        may_have_run_since: Option<Timestamp>,
+        name: &str,
+    ) {
+        let Some(since) = may_have_run_since else { return };
         let Some(rule) = self.retry_rules.get(sent.class) else { return };
         let is_allowed = match rule.effect() {
             Effect::Safe => true,
--- a/src/core/request_table.rs
+++ b/src/core/request_table.rs
@@ -91,15 +91,15 @@
     deadlines: BTreeSet<(Timestamp, u64)>,
     /// Cancelled attempts (request id and attempt number), by the time of the next check of whether the
     /// cancellation has taken effect.
-    cancellations: BTreeSet<(Timestamp, u64, u32)>,
-    recent: RecentRequests,
+    cancellation_checks: BTreeSet<(Timestamp, u64, u32)>,
+    recent_requests: RecentRequests,
 }
 
 impl RequestTable {
     /// Records the id of a new request as used; returns false if a request with this id is pending or the id
     /// was recently used for another statement.
     pub(super) fn reserve_id(&mut self, id: u64, statement: &[u8], now: Timestamp) -> bool {
-        !self.requests.contains_key(&id) && self.recent.insert(id, statement, now)
+        !self.requests.contains_key(&id) && self.recent_requests.insert(id, statement, now)
     }
 
     pub(super) fn insert(&mut self, id: u64, request: PendingRequest) {
@@ -167,12 +167,12 @@
 
     /// Schedules a check, at time `at`, of whether the cancellation of an attempt has taken effect.
     pub(super) fn schedule_cancellation_check(&mut self, at: Timestamp, id: u64, attempt: u32) {
-        self.cancellations.insert((at, id, attempt));
+        self.cancellation_checks.insert((at, id, attempt));
     }
 
     /// Whether the check of any cancellation is due.
     pub(super) fn has_due_cancellation_check(&self, now: Timestamp) -> bool {
-        self.cancellations.first().is_some_and(|(at, ..)| *at <= now)
+        self.cancellation_checks.first().is_some_and(|(at, ..)| *at <= now)
     }
 
     /// Removes the first cancellation whose check is due; returns the request id and attempt number.
@@ -180,7 +180,7 @@
         if !self.has_due_cancellation_check(now) {
             return None;
         }
-        self.cancellations.pop_first().map(|(_, id, attempt)| (id, attempt))
+        self.cancellation_checks.pop_first().map(|(_, id, attempt)| (id, attempt))
     }
 
     /// Removes the first deadline that has passed; returns the request id.
@@ -195,7 +195,7 @@
     /// Time at which the next deadline or check of a cancellation is due; `None` without pending requests.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
-        let cancellation = self.cancellations.first().map(|(at, ..)| *at);
-        deadline.into_iter().chain(cancellation).min()
+        let cancellation_check = self.cancellation_checks.first().map(|(at, ..)| *at);
+        deadline.into_iter().chain(cancellation_check).min()
     }
 }
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -77,7 +77,7 @@
     pub(super) fn check(&mut self, engines: &EngineTable, views: Vec<EngineView>) -> Option<Vec<f64>> {
         self.next_check = now() + CHECK_INTERVAL;
         let listed: Vec<EngineView> = views.into_iter().filter(|view| view.listed).collect();
-        let contacts: Vec<EngineContact> = listed.iter().map(|view| contact_with(engines, view)).collect();
+        let contacts: Vec<EngineContact> = listed.iter().map(|view| engine_contact(engines, view)).collect();
         let responsiveness = self.failure_detector.update(now(), &contacts);
         let observations = self.summarize(engines, &listed, &responsiveness);
         let plan = self.failover.update(now(), &observations);
@@ -213,11 +213,11 @@
 }
 
 fn is_unresponsive_now(engines: &EngineTable, view: &EngineView) -> bool {
-    current_responsiveness(now(), &contact_with(engines, view)) == Responsiveness::Unresponsive
+    current_responsiveness(now(), &engine_contact(engines, view)) == Responsiveness::Unresponsive
 }
 
 /// This manager's observations of the responses of an engine, for the failure detector.
-fn contact_with(engines: &EngineTable, view: &EngineView) -> EngineContact {
+fn engine_contact(engines: &EngineTable, view: &EngineView) -> EngineContact {
     EngineContact {
         engine: view.engine,
         zone: view.zone,
