--- a/src/core/invariants.rs
+++ b/src/core/invariants.rs
@@ -126,7 +126,7 @@
     logged: Cell<u32>,
     drain_grace: TimeDelta,
     /// Effect and deduplication window of each class, by class index. The monitor evaluates them itself and
-    /// does not call [`RetryRule::may_run_again`].
+    /// does not call [`RetryRule::is_retry_harmless`].
     retry_rules: Vec<RetryRule>,
     retry_budget: Option<RetryBudgetSettings>,
     /// Times of requests in the retry budget's window. The monitor's windows are separate from the send
--- a/src/core/send_guard.rs
+++ b/src/core/send_guard.rs
@@ -7,10 +7,10 @@
 //! Between the selection of the engine by the policy and the first byte, an attempt may wait for its
 //! connection, for a slow peer, or for the processor. Five rules are therefore checked again on the current
 //! state: the request is open, the deadline has not passed, the engine is ready, the class allows a retry
-//! ([`RetryRule::may_run_again`]), and the retry budget has capacity ([`RetryBudgetSettings::has_capacity`]).
-//! The other rules (number of attempts, deduplication group, slow start, health) are checked only when the
-//! engine is selected. An attempt that fails a check is withdrawn; it was never sent, so its request loses
-//! nothing but time.
+//! ([`RetryRule::is_retry_harmless`]), and the retry budget has capacity
+//! ([`RetryBudgetSettings::has_capacity`]). The other rules (number of attempts, deduplication group, slow
+//! start, health) are checked only when the engine is selected. An attempt that fails a check is withdrawn;
+//! it was never sent, so its request loses nothing but time.
 
 use sprucelink_policy::{RetryBudgetSettings, RetryRule, Settings, TimeDelta, Timestamp};
 use sprucelink_rate_limits::SlotWindow;
@@ -148,7 +148,7 @@
 
     fn is_retryable(&self, now: Timestamp, attempt: &OutgoingAttempt) -> bool {
         let rule = self.retry_rules.get(attempt.class);
-        rule.is_none_or(|rule| rule.may_run_again(now, attempt.may_have_run_since))
+        rule.is_none_or(|rule| rule.is_retry_harmless(now, attempt.may_have_run_since))
     }
 
     /// Whether a further retry stays within the budget. Of the slot in which the window starts, all retries
