--- a/crates/cordon/tests/model.rs
+++ b/crates/cordon/tests/model.rs
@@ -1,4 +1,5 @@
-//! Compares any sequence of calls, endpoint list events and time steps with a reference model.
+//! Tests that any sequence of calls, endpoint list events and time steps has the same results as in a
+//! reference model.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -154,7 +155,7 @@
     }
 }
 
-fn request(permit: u8, lease_expires_at: i64) -> CordonRequest {
+fn cordon_request(permit: u8, lease_expires_at: i64) -> CordonRequest {
     let lease_expires_at = Timestamp::from_micros(lease_expires_at);
     match cause(permit) {
         Cause::Operator => CordonRequest::Operator,
@@ -162,7 +163,13 @@
     }
 }
 
-fn assert_same(real: &CordonState, model: &ReferenceModel, step: &Step) -> Result<(), TestCaseError> {
+/// Checks the manager's state, the cordoned engines, the known engines and the active causes against the
+/// model.
+fn assert_matches_model(
+    real: &CordonState,
+    model: &ReferenceModel,
+    step: &Step,
+) -> Result<(), TestCaseError> {
     prop_assert_eq!(real.manager_state(), model.manager_state());
     for index in 1..6_u8 {
         let id = format!("s-{index}");
@@ -203,7 +210,7 @@
                 Step::Cordon(index, permit, lease) => {
                     let lease = i64::from(*lease) * TICK;
                     let expected = model.cordon(*index, *permit, now, lease);
-                    let request = request(*permit, now + lease);
+                    let request = cordon_request(*permit, now + lease);
                     prop_assert_eq!(real.cordon(timestamp, &target(*index), request, "why"), expected);
                 }
                 Step::Uncordon(index, permit) => {
@@ -236,7 +243,7 @@
                 }
             }
             model.update_manager(now);
-            assert_same(&real, &model, &step)?;
+            assert_matches_model(&real, &model, &step)?;
         }
     }
 }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -38,7 +38,7 @@
     fn try_dispatch(&mut self, position: QueuePosition, id: RequestId, out: &mut Vec<Action>) {
         // The number is drawn even if it is not used, so that the random numbers of other requests do not
         // depend on this request.
-        let random_unit = self.random.next_unit();
+        let random_unit = self.random.next_f64();
         let Some(request) = self.requests.get(&id) else { return };
         if !self.is_next_of_key(id, request) || !self.is_within_retry_budget(request) {
             return;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -186,7 +186,7 @@
 
     /// Draws the random number for the window that starts now.
     pub(crate) fn draw_number(&mut self, now: Timestamp, settings: &Settings, random: &mut SplitMix64) {
-        self.sender_number = random.next_unit();
+        self.sender_number = random.next_f64();
         self.next_draw = now + settings.slow_start_window;
     }
 
--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. There is no
-//! other state.
+//! The clock of the process: the Unix time of the first reading, advanced by the monotonic clock. State: the
+//! first readings of both clocks.
 
 use nix::time::{clock_gettime, ClockId};
 use sprucelink_policy::{TimeDelta, Timestamp};
@@ -8,7 +8,8 @@
 
 /// The current time: the Unix time of the first call, advanced by the monotonic clock.
 ///
-/// All deadlines and spans use it, so that a step of the system clock neither shortens nor prolongs them.
+/// All deadlines and spans are measured on this clock, so that a step of the system clock neither shortens
+/// nor prolongs them.
 pub fn now() -> Timestamp {
     static FIRST: OnceLock<(Instant, Timestamp)> = OnceLock::new();
     let (first_call, started_at) = FIRST.get_or_init(|| (Instant::now(), unix()));
@@ -16,8 +17,8 @@
     *started_at + TimeDelta::from_micros(elapsed)
 }
 
-/// The difference between [`now`] and the machine's monotonic clock, which all processes of the machine
-/// share. It is constant within a process.
+/// The difference between [`now`] and the machine's monotonic clock, by which processes of one machine
+/// convert each other's times: they share the monotonic clock. The difference is constant within a process.
 pub fn machine_clock_offset() -> TimeDelta {
     static OFFSET: OnceLock<TimeDelta> = OnceLock::new();
     *OFFSET.get_or_init(|| {
@@ -32,7 +33,7 @@
     Timestamp::from_micros(i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX))
 }
 
-/// A span as a duration to sleep; zero if it is negative.
+/// Converts a span to a duration, for a sleep or timeout; zero if the span is negative.
 pub fn to_duration(span: TimeDelta) -> Duration {
     Duration::from_micros(span.as_micros().max(0) as u64)
 }
--- a/src/core/engine_connection/send_queue.rs
+++ b/src/core/engine_connection/send_queue.rs
@@ -1,14 +1,14 @@
 //! The send queue of a connection.
 //!
 //! Input: commands, and the parts of the stream that are withdrawn. Output: buffers to write. State: the
-//! buffers not yet written and the commands that send attempts. Offsets count the bytes of the stream since
-//! the connection was made.
+//! buffers that are not yet taken for writing, the commands that send attempts and are not sent completely,
+//! and the withdrawn parts. Offsets count the bytes of the stream since the connection was made.
 
 use crate::core::buffer_pool::Buffer;
 use crate::proto::resp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Limit on the framing of a command, and on the framing of each of its parts, in bytes.
+/// Upper bound of the framing of a command, and of the framing of each of its parts, in bytes.
 const FRAMING_BYTES: usize = 16;
 
 /// A command that sends an attempt and was not sent completely.
@@ -38,21 +38,21 @@
         self.start + self.bytes.len() as u64
     }
 
-    /// The buffer's bytes from offset `from`, up to offset `limit` if there is one.
+    /// The buffer's bytes from offset `from` of the stream, up to offset `limit` if there is one.
     pub(in crate::core) fn slice(&self, from: u64, limit: Option<u64>) -> &[u8] {
         let to = limit.map_or(self.end(), |limit| limit.min(self.end()));
         &self.bytes[(from - self.start) as usize..(to - self.start) as usize]
     }
 }
 
-/// The send queue of a connection.
+/// The bytes that a connection has to send, and which of them belong to attempts.
 #[derive(Debug, Default)]
 pub(super) struct SendQueue {
     buffers: VecDeque<Buffer>,
-    /// Offset of the end of the queued commands.
-    queued: u64,
+    /// Offset at which the last queued command ends.
+    queued_end: u64,
     /// Offset up to which the stream was sent or skipped.
-    written: u64,
+    written_end: u64,
     /// Offset up to which buffers were taken off the queue.
     taken: u64,
     /// Withdrawn parts of the stream: end offsets by start offset.
@@ -62,18 +62,22 @@
 }
 
 impl SendQueue {
-    /// Queues a command, in the last buffer if it has capacity and otherwise in a buffer from `buffer`;
-    /// returns false if no buffer has capacity.
-    pub(super) fn push_command(&mut self, parts: &[&[u8]], buffer: impl FnOnce() -> Option<Buffer>) -> bool {
+    /// Queues a command, in the last buffer if that buffer has capacity and otherwise in a buffer that
+    /// `buffer` returns; returns false if neither has capacity.
+    pub(super) fn push_command(
+        &mut self,
+        parts: &[&[u8]],
+        take_buffer: impl FnOnce() -> Option<Buffer>,
+    ) -> bool {
         let size = FRAMING_BYTES + parts.iter().map(|part| part.len() + FRAMING_BYTES).sum::<usize>();
         if !self.buffers.back().is_some_and(|last| last.has_capacity(size)) {
-            let Some(buffer) = buffer().filter(|buffer| buffer.has_capacity(size)) else { return false };
+            let Some(buffer) = take_buffer().filter(|buffer| buffer.has_capacity(size)) else { return false };
             self.buffers.push_back(buffer);
         }
         if let Some(buffer) = self.buffers.back_mut() {
             let len_before = buffer.len();
             resp::write_command(buffer, parts);
-            self.queued += (buffer.len() - len_before) as u64;
+            self.queued_end += (buffer.len() - len_before) as u64;
         }
         true
     }
@@ -83,27 +87,27 @@
         self.unsent.push_back(command);
     }
 
-    /// Offset of the end of the queued commands.
-    pub(super) fn queued(&self) -> u64 {
-        self.queued
+    /// Offset at which the last queued command ends.
+    pub(super) fn queued_end(&self) -> u64 {
+        self.queued_end
     }
 
     /// Offset up to which the stream was sent or skipped.
-    pub(super) fn written(&self) -> u64 {
-        self.written
+    pub(super) fn written_end(&self) -> u64 {
+        self.written_end
     }
 
-    /// The ids of the requests whose commands were not sent completely.
+    /// The ids of the requests whose commands are neither sent completely nor withdrawn.
     pub(super) fn unsent_ids(&self) -> Vec<u64> {
         self.unsent.iter().map(|command| command.id).collect()
     }
 
-    /// The first attempt whose command begins between two offsets.
+    /// The first unsent attempt whose command begins at offset `from` or later and before offset `to`.
     pub(super) fn next_attempt(&self, from: u64, to: u64) -> Option<UnsentCommand> {
         self.unsent.iter().find(|command| command.start >= from && command.start < to).copied()
     }
 
-    /// Takes the next buffer off the queue.
+    /// Takes the oldest buffer off the queue; `None` if the queue is empty.
     pub(super) fn pop_buffer(&mut self) -> Option<QueuedBuffer> {
         let bytes = self.buffers.pop_front()?;
         let buffer = QueuedBuffer { bytes, start: self.taken };
@@ -111,26 +115,27 @@
         Some(buffer)
     }
 
-    /// Withdraws a command of which no byte was sent.
+    /// Withdraws the command between two offsets, of which no byte was sent.
     pub(super) fn withdraw(&mut self, start: u64, end: u64) {
         self.withdrawn.insert(start, end);
         self.unsent.retain(|command| command.end != end);
     }
 
-    /// Skips withdrawn bytes at the head of the stream; returns the start of the next withdrawn part, if
-    /// there is one.
+    /// Skips withdrawn bytes at the head of the stream; returns the offset at which the next withdrawn part
+    /// begins, or `None` if nothing else is withdrawn.
     pub(super) fn skip_withdrawn(&mut self) -> Option<u64> {
-        while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written) {
-            self.written = self.written.max(part.remove());
+        while let Some(part) = self.withdrawn.first_entry().filter(|part| *part.key() <= self.written_end) {
+            self.written_end = self.written_end.max(part.remove());
         }
         self.withdrawn.first_key_value().map(|(start, _)| *start)
     }
 
-    /// Advances the written offset by `bytes`; returns the number of attempts that this completes.
+    /// Records that the next `bytes` bytes of the stream were sent; returns the number of attempts whose
+    /// commands are now sent completely.
     pub(super) fn record_written(&mut self, bytes: usize) -> u64 {
-        self.written += bytes as u64;
+        self.written_end += bytes as u64;
         let mut sent = 0;
-        while self.unsent.front().is_some_and(|command| command.end <= self.written) {
+        while self.unsent.front().is_some_and(|command| command.end <= self.written_end) {
             self.unsent.pop_front();
             sent += 1;
         }
--- a/src/core/engine_connection/tests.rs
+++ b/src/core/engine_connection/tests.rs
@@ -32,7 +32,7 @@
     });
 }
 
-/// The connection of a machine that has failed stays open and accepts all bytes.
+/// The connection to a machine that has failed stays open and accepts bytes, but no progress notes arrive.
 #[test]
 fn connection_with_missing_progress_notes_accepts_no_attempts() {
     run_local(async {
@@ -56,17 +56,17 @@
     assert!(pool.get().is_none());
     let connection = EngineConnection::new(0, "127.0.0.1:9".parse().expect("an address"));
     assert!(!connection.send(&pool, 1, 0, &[b"do"]) && connection.attempt_count() == 0);
-    // Without its cancellation, an attempt would run concurrently with the next one.
+    // Without its cancellation, an attempt would run concurrently with the request's next attempt.
     connection.command(&pool, &[b"undo"]);
-    assert!(connection.queued() > 0 && !connection.has_passed(connection.queued()));
+    assert!(connection.queued_end() > 0 && !connection.has_passed(connection.queued_end()));
     drop(only_buffer);
     assert!(connection.send(&pool, 1, 0, &[b"do"]));
     let interrupted = InterruptedAttempt { id: 1, attempt: 0, is_unsent: true };
     assert_eq!(connection.close(), [interrupted], "the attempt was not sent, so it never ran");
 }
 
-/// The ids of the requests that a peer receives, up to `last`. Checks that each has a statement of
-/// `statement_bytes`.
+/// The ids of the requests that a peer receives, up to the id `last`. Checks that each request has a
+/// statement of `statement_bytes` bytes.
 async fn received_ids(peer: &mut TcpStream, last: u64, statement_bytes: usize) -> Vec<u64> {
     let mut received = Vec::new();
     let mut ids = Vec::new();
@@ -83,8 +83,8 @@
     ids
 }
 
-/// Withdrawn commands are skipped, whether they wait for the connection or for a slow peer; all others arrive
-/// completely and in order. A command that was sent in part cannot be withdrawn.
+/// Withdrawn commands are skipped, whether they wait for the connection or for a slow peer; all other
+/// commands arrive completely and in order. A command that was sent in part cannot be withdrawn.
 #[test]
 fn withdrawn_commands_are_skipped_and_all_others_arrive() {
     run_local(async {
@@ -105,8 +105,8 @@
         // Sends more than the kernel buffers of both sides hold, while the peer reads nothing.
         (4..1_000).for_each(send);
         let mut written = 0;
-        while connection.is_unsent(1) || written != connection.written() {
-            written = connection.written();
+        while connection.is_unsent(1) || written != connection.written_end() {
+            written = connection.written_end();
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let unsent: Vec<u64> = (4..1_000).filter(|id| connection.is_unsent(*id)).collect();
@@ -127,7 +127,8 @@
     });
 }
 
-/// A connection may break in the middle of a command. An engine runs only complete commands.
+/// A connection may break in the middle of a command. An engine runs only complete commands, so the attempt
+/// never ran.
 #[test]
 fn attempt_that_was_sent_in_part_never_ran() {
     run_local(async {
@@ -144,8 +145,8 @@
         tokio::task::spawn_local(run(owner, Rc::clone(&connection)));
         let (_peer, _) = listeners[0].accept().await.expect("a connection");
         let mut written = u64::MAX;
-        while written != connection.written() {
-            written = connection.written();
+        while written != connection.written_end() {
+            written = connection.written_end();
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let unsent = connection.unsent_ids();
--- a/src/core/engine_table.rs
+++ b/src/core/engine_table.rs
@@ -36,32 +36,34 @@
     /// Time at which the engine was removed from the list; `None` if it is listed.
     pub(super) removed_at: Option<Timestamp>,
     /// Time at which the engine ceased to be listed as ready or was cordoned; `None` while it is ready.
-    pub(super) unlisted_since: Option<Timestamp>,
-    /// Time at which the engine last answered.
+    pub(super) not_ready_since: Option<Timestamp>,
+    /// Time at which the engine last answered; `None` if it never did.
     pub(super) last_answered_at: Option<Timestamp>,
     /// The engine's last entry in the list, before cordons are applied.
     pub(super) listed_entry: Option<Endpoint>,
-    /// Whether the engine is listed as ready and not cordoned, so that attempts may be sent to it.
+    /// Whether the engine is listed as ready and not cordoned; otherwise no attempt may be sent to the
+    /// engine.
     pub(super) is_ready: bool,
     /// Number of the last event that named the engine.
     pub(super) last_event: u64,
 }
 
 impl Engine {
-    /// Whether the list has the engine with a valid address and not as gone.
+    /// Whether the engine is in the list, with a valid address and a phase other than gone.
     pub(super) fn is_listed(&self) -> bool {
         self.address.is_some() && self.removed_at.is_none()
     }
 
-    /// Applies the engine's entry in the list, with cordons applied. Returns whether the engine has moved or
-    /// restarted; its connections are then retired, because they lead to another process.
+    /// Applies the engine's entry, in which a cordoned engine is draining. Returns whether the engine's
+    /// address or start time has changed. The connections of a moved, restarted or gone engine are retired,
+    /// because they may lead to another process.
     pub(super) fn apply(&mut self, entry: &Endpoint, now: Timestamp) -> bool {
         let address = entry.address.parse().ok();
         let has_moved = self.address != address || self.started_at_ms != entry.up_since_ms;
         self.address = address;
         self.started_at_ms = entry.up_since_ms;
         self.is_ready = entry.phase == EndpointPhase::Ready;
-        self.unlisted_since = if self.is_ready { None } else { self.unlisted_since.or(Some(now)) };
+        self.not_ready_since = if self.is_ready { None } else { self.not_ready_since.or(Some(now)) };
         self.id.clone_from(&entry.id);
         self.removed_at = (entry.phase == EndpointPhase::Gone).then_some(now);
         if has_moved || self.removed_at.is_some() {
@@ -70,8 +72,9 @@
         has_moved
     }
 
-    /// A connection that accepts a request: the connection with the most attempts, so that the others become
-    /// idle.
+    /// A connection that accepts a request; `None` if there is none. An open connection is preferred to one
+    /// that is being dialed, and then the connection with the most attempts, so that the other connections
+    /// become idle and are closed.
     pub(super) fn reusable_connection(
         &self,
         id: u64,
@@ -83,21 +86,21 @@
         most_used.map(Rc::clone)
     }
 
-    /// Adds a connection that the caller has to dial. `engine`: the index of this engine. `has_capacity`:
-    /// whether the connections to all engines are below their limit.
+    /// Adds a connection that the caller has to dial. `engine`: the index of this engine.
+    /// `may_add_connection`: whether the connections to all engines are below their limit.
     ///
     /// # Errors
-    /// The outcome of the attempt, if no connection is available for it.
+    /// The outcome of the attempt, if the engine's address is unknown or a limit on connections is reached.
     pub(super) fn add_connection(
         &mut self,
         engine: usize,
         limits: &ConnectionLimits,
-        has_capacity: bool,
+        may_add_connection: bool,
     ) -> Result<Rc<EngineConnection>, AttemptOutcome> {
         let address = self.address.ok_or(AttemptOutcome::Unreachable)?;
-        // Connections to engines have a separate limit of file descriptors, so that they cannot exhaust those
-        // of clients.
-        if self.connections.len() >= limits.max_per_engine || !has_capacity {
+        // Connections to engines have a separate limit, so that they cannot exhaust the file descriptors for
+        // connections of clients.
+        if self.connections.len() >= limits.max_per_engine || !may_add_connection {
             return Err(AttemptOutcome::NeverRan);
         }
         let connection = EngineConnection::new(engine, address);
@@ -109,49 +112,50 @@
 /// All engines by index, and the position in the endpoint list.
 pub(super) struct EngineTable {
     engines: Vec<Engine>,
-    /// The number of the last event of the list.
+    /// The number of the last event of the list; 0 before the first event.
     last_event: u64,
     /// The highest revision of the list so far. It is kept after the engines of that list are removed.
     revision: u64,
     /// Time for which an engine is kept after its removal from the list. No request is pending for longer
-    /// than that.
+    /// than this time.
     retention: TimeDelta,
 }
 
 impl EngineTable {
-    /// Creates a table without engines.
+    /// Creates a table without engines. `retention`: time for which an engine is kept after its removal from
+    /// the list, at least the longest deadline of a request.
     pub(super) fn new(retention: TimeDelta) -> EngineTable {
         EngineTable { engines: Vec::new(), last_event: 0, revision: 0, retention }
     }
 
-    /// The number of indices, those of removed engines included.
+    /// The number of indices, including the indices of removed engines.
     pub(super) fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// An engine by index.
+    /// The engine at an index; `None` if the table has no such index.
     pub(super) fn get(&self, engine: usize) -> Option<&Engine> {
         self.engines.get(engine)
     }
 
-    /// An engine by index.
+    /// The engine at an index; `None` if the table has no such index.
     pub(super) fn get_mut(&mut self, engine: usize) -> Option<&mut Engine> {
         self.engines.get_mut(engine)
     }
 
-    /// An engine by index; adds it if there is none.
+    /// The engine at an index; adds an empty engine if the table has no such index.
     pub(super) fn get_or_insert(&mut self, engine: usize) -> &mut Engine {
         let len = self.engines.len().max(engine + 1);
         self.engines.resize_with(len, Engine::default);
         &mut self.engines[engine]
     }
 
-    /// All engines, by index.
+    /// All engines in the order of their indices. An index that is free has an empty engine.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter()
     }
 
-    /// The last entry of an engine in the list.
+    /// The last entry of the engine with this id in the list, before cordons are applied.
     pub(super) fn listed_entry(&self, id: &str) -> Option<Endpoint> {
         self.engines.iter().find(|engine| engine.id == id)?.listed_entry.clone()
     }
@@ -161,17 +165,17 @@
         self.engines.iter().filter(|engine| engine.is_listed()).count()
     }
 
-    /// The number of connections to all engines.
+    /// The number of connections to all engines that are open or being dialed.
     pub(super) fn connection_count(&self) -> usize {
         self.engines.iter().map(|engine| engine.connections.len()).sum()
     }
 
-    /// The number of the last event of the list.
+    /// The number of the last event that was applied or skipped; 0 before the first event.
     pub(super) fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// Records the number of an event that does not change the table.
+    /// Records the number of an event that is skipped, so that the next poll continues after it.
     pub(super) fn skip_event(&mut self, event: u64) {
         self.last_event = self.last_event.max(event);
     }
@@ -179,9 +183,10 @@
     /// The part of an event that is new; `None` if nothing is new. Records the event's number if it is higher
     /// than the last one.
     ///
-    /// An event with a lower number is new in two cases. If its revision is higher than all earlier
-    /// revisions, the feed has restarted its numbering, and every further event would be ignored because of
-    /// its number. If it arrives out of order, it applies to the known engines that no later event has named.
+    /// An event whose number is not higher is new in two cases. If its revision is higher than all earlier
+    /// revisions, the feed has restarted its numbering; without this rule, every further event would be
+    /// ignored because of its number. If the event arrives out of order, it applies to the known engines that
+    /// no later event has named.
     pub(super) fn accept_event(&mut self, list: &ListEvent) -> Option<ListEvent> {
         if list.number > self.last_event {
             self.last_event = list.number;
@@ -218,7 +223,8 @@
         self.last_event = list.number;
     }
 
-    /// Adds an entry with phase gone for each known engine that a complete list omits.
+    /// Adds an entry with phase gone for each known engine that a complete list omits; leaves other lists
+    /// unchanged.
     pub(super) fn add_omitted_as_gone(&self, list: &mut ListEvent) {
         if !list.is_complete {
             return;
@@ -237,7 +243,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Removes the engines whose retention has ended and that have no connection; returns their indices.
+    /// Removes the engines that have no connection and were removed from the list longer than the retention
+    /// time ago; returns their indices, which may be reused.
     pub(super) fn remove_expired(&mut self, now: Timestamp) -> Vec<usize> {
         let mut removed = Vec::new();
         for (index, engine) in self.engines.iter_mut().enumerate() {
--- a/src/core/startup_control.rs
+++ b/src/core/startup_control.rs
@@ -16,15 +16,15 @@
 
 /// The state machines of `sprucelink_startup` that the core drives.
 pub(super) struct StartupControl {
-    dials: DialPacer,
+    dial_pacer: DialPacer,
     admission: WarmupAdmission,
     list_guard: EndpointListGuard,
     readiness: Readiness,
 }
 
 impl StartupControl {
-    /// Creates the control of a start-up that begins at `now`. `name`: this manager's configured name.
-    /// `listed_engines`: the number of engines known so far.
+    /// Creates the control of a start-up that begins at `now`. `name`: this manager's configured name;
+    /// `seed`: seed of the jitter of Retry-After; `listed_engines`: the number of engines listed so far.
     pub(super) fn new(
         settings: &StartupConfig,
         name: &str,
@@ -35,7 +35,7 @@
         let mut readiness = Readiness::new(settings.readiness, now);
         readiness.record_endpoint_list(listed_engines);
         StartupControl {
-            dials: DialPacer::new(settings.dial_pacer, name, now),
+            dial_pacer: DialPacer::new(settings.dial_pacer, name, now),
             admission: WarmupAdmission::new(settings.admission, seed, now),
             list_guard: EndpointListGuard::new(settings.endpoint_list_guard),
             readiness,
@@ -51,27 +51,27 @@
         self.admission.admit(now, pending)
     }
 
-    /// Records that a request was served, and its latency.
+    /// Records that a request was served, `latency` after its submission.
     pub(super) fn record_served(&mut self, latency: TimeDelta) {
         self.admission.record_served(latency);
     }
 
-    /// Records that an engine rejected or failed an attempt.
-    pub(super) fn record_backpressure(&mut self) {
-        self.admission.record_backpressure();
+    /// Records that an engine rejected an attempt because of its load, or answered it with an error.
+    pub(super) fn record_engine_failure(&mut self) {
+        self.admission.record_engine_failure();
     }
 
-    /// Reserves a dial of an engine; returns the time at which the dial may be made.
+    /// Reserves a dial of an engine; returns the time from which the dial may start.
     pub(super) fn reserve_dial(&mut self, now: Timestamp, engine_id: &str) -> Timestamp {
-        self.dials.reserve_dial(now, engine_id)
+        self.dial_pacer.reserve_dial(now, engine_id)
     }
 
-    /// Records that the control feed has answered a poll.
+    /// Records that the control feed has answered a poll, for readiness.
     pub(super) fn record_feed_answer(&mut self) {
         self.readiness.record_feed_answer();
     }
 
-    /// Records that a connection to an engine has opened.
+    /// Records that a connection to an engine has opened, for readiness.
     pub(super) fn record_connection(&mut self) {
         self.readiness.record_connection();
     }
@@ -81,8 +81,8 @@
         self.readiness.record_endpoint_list(listed_engines);
     }
 
-    /// Logs once that this manager has become ready; returns the time of the next check, or `None` if none is
-    /// needed.
+    /// Logs once that this manager has become ready; returns the time of the next check, or `None` if no
+    /// further check is needed.
     pub(super) fn check_readiness(&mut self, now: Timestamp) -> Option<Timestamp> {
         if let Some(ready) = self.readiness.check(now) {
             info!(
@@ -90,7 +90,7 @@
                 feed_answered = ready.feed_answered,
                 connected = ready.is_connected,
                 engines = ready.engines,
-                delayed_dials = self.dials.delayed_dials(),
+                delayed_dials = self.dial_pacer.delayed_dials(),
                 rejected_requests = self.admission.rejected(),
                 "manager is ready"
             );
@@ -98,8 +98,8 @@
         self.readiness.next_check_at()
     }
 
-    /// Returns the part of a list that may be applied, if the list is older than the current one or
-    /// contradicts itself; `None` if the whole list may be applied.
+    /// Returns the part of a list that may be applied, if the list is older than the current list or
+    /// contradicts itself; `None` if the complete list may be applied.
     pub(super) fn filter_list(&mut self, list: &ListEvent, now: Timestamp) -> Option<ListEvent> {
         let entries: Vec<(&str, EndpointState)> =
             list.endpoints.iter().map(|member| (member.id.as_str(), endpoint_state(member.phase))).collect();
