--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -5,17 +5,23 @@
 
 use sprucelink_fault_soak::clock::{monotonic_ms, wall_ms, ClockStep};
 use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use support::*;
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// Environment variables that make a program's wall clock step.
-fn clock_step_variables(steps: &[ClockStep]) -> Vec<(&'static str, String)> {
-    let library = sprucelink_fault_soak::shim::build(&scratch_dir()).expect("compiled");
+/// Compiles the library of system call faults. This takes seconds on a loaded machine, so that the time of a
+/// step is set only afterwards: otherwise the step could pass before the program has started.
+fn build_fault_library() -> PathBuf {
+    sprucelink_fault_soak::shim::build(&scratch_dir()).expect("the fault library compiles")
+}
+
+/// Environment variables that preload the fault library and make a program's wall clock step.
+fn clock_step_variables(library: &Path, steps: &[ClockStep]) -> Vec<(&'static str, String)> {
     let steps: Vec<String> =
         steps.iter().map(|step| format!("step={}:{}", step.at_ms, step.ahead_ms)).collect();
-    let library = library.to_str().expect("a name in UTF-8").to_owned();
+    let library = library.to_str().expect("the library's path is UTF-8").to_owned();
     vec![("LD_PRELOAD", library), ("SYSCALL_FAULTS", steps.join(","))]
 }
 
@@ -34,8 +40,9 @@
     let (old, new) = (Engine::echo(), Engine::echo());
     let feed = Feed::start();
     feed.send(list(1, true, &[("s-1", old.address, "ready")]));
+    let fault_library = build_fault_library();
     let step = ClockStep { at_ms: monotonic_ms() + 1_500, ahead_ms };
-    let vars = clock_step_variables(&[step]);
+    let vars = clock_step_variables(&fault_library, &[step]);
     let vars: Vec<(&str, &str)> = vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
     let engines = [("s-1", old.address)];
     let program = Program::launch_in(&vars, None, &engines, Some(&feed), None, (192, 1024), settings, &[]);
@@ -81,8 +88,9 @@
     let engine = Engine::echo();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let folder = scratch_dir();
+    let fault_library = build_fault_library();
     let step = ClockStep { at_ms: monotonic_ms() + 1_500, ahead_ms };
-    let vars = clock_step_variables(&[step]);
+    let vars = clock_step_variables(&fault_library, &[step]);
     let mut environment: Vec<(&str, &str)> =
         vars.iter().map(|(name, value)| (*name, value.as_str())).collect();
     environment.extend([("EDGE_OPERATOR", "127.0.0.1:0"), ("EDGE_FD", "5")]);
