--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -18,11 +18,11 @@
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// Time after which a client that has cancelled closes its connection.
 const CLOSE_AFTER_CANCEL: Duration = Duration::from_millis(500);
-/// Maximum length of a message.
+/// Maximum length of a message from a manager.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Error text of a session that its manager rejected.
 const REJECTED: &str = "rejected";
-/// Code of a CancelRequest.
+/// Request code of a CancelRequest in the PostgreSQL protocol.
 const CANCEL_CODE: u32 = 80_877_102;
 
 /// A session with a manager.
@@ -36,7 +36,7 @@
 /// How a request ended at its client.
 #[derive(Debug)]
 enum Answer {
-    /// The request was served; holds the first column of its only row.
+    /// The request was served. Holds the first column of the only row.
     Served(String),
     /// The request was rejected or failed with an error.
     Error,
@@ -79,7 +79,7 @@
 }
 
 impl Session {
-    /// Connects and sends the start-up packet, followed by `first_bytes`.
+    /// Connects and sends the start-up packet and, in the same write, `first_bytes`.
     async fn open(address: SocketAddr, first_bytes: &[u8]) -> io::Result<Session> {
         let mut stream = TcpStream::connect(address).await?;
         let opened_at = Instant::now();
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Reads the answer to the next request.
+    /// Reads messages up to ReadyForQuery, which ends the answer to the oldest open request.
     async fn answer(&mut self) -> io::Result<Answer> {
         let mut row = None;
         let mut answer = None;
@@ -227,7 +227,7 @@
                 self.world.report_violation(Rule::WrongAnswer, detail);
             }
             Ok(_) => {}
-            // A request too long after SIGTERM, or to a process that was killed, needs no answer.
+            // A request sent too long after SIGTERM, or to a process that was killed, needs no answer.
             Err(_) if !self.endpoint.must_answer(opened_at, sent_at) => {}
             Err(error) => {
                 let number = self.endpoint.number;
@@ -249,7 +249,7 @@
         timeout(limit, session.answer()).await?
     }
 
-    /// As [`Client::await_answer`] on a new connection: waits for the start of the session first.
+    /// Waits until the session has started, then for the answer as [`Client::await_answer`] does.
     async fn await_first_answer(&self, session: &mut Session, request: &Request) -> io::Result<Answer> {
         match timeout(request.timeout + ANSWER_GRACE, session.wait_until_started()).await? {
             Ok(()) => self.await_answer(session, request).await,
@@ -286,7 +286,8 @@
             let sent_at = Instant::now();
             self.request_sent(&request);
             match self.await_answer(&mut session, &request).await {
-                // The request crossed the close: it is sent once more, on a new connection.
+                // The manager closed the idle session while the request was under way: it is sent once more,
+                // on a new connection.
                 Err(error) if is_end(&error) && sent_at.elapsed() < Duration::from_millis(100) => {
                     return self.retry(address, request).await;
                 }
@@ -355,8 +356,8 @@
             let pause = self.rng.gen_range(0..250);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        // The last piece was sent before the pause, and the deadline counts from after it: this is the less
-        // strict check.
+        // The deadline counts from the end of the pause, although the last piece was sent before the pause:
+        // this makes the check less strict.
         let sent_at = Instant::now();
         if !self.endpoint.takes_requests() {
             return;
--- a/crates/fault-soak/src/engine.rs
+++ b/crates/fault-soak/src/engine.rs
@@ -15,21 +15,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Maximum length of a command.
+/// Maximum length of an incomplete command; a connection that exceeds it is closed.
 const MAX_COMMAND_BYTES: usize = 256 * 1024;
 /// Mean service time of a request.
 pub const MEAN_WORK: Duration = Duration::from_millis(40);
 
-/// Current behaviour of an engine.
+/// Faults of a stand-in engine: how often each occurs, and when idle connections are closed.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Time until which the engine answers nothing.
+    /// Time until which the engine sends no answer.
     pub hangs_until: Instant,
     /// Requests per 1,000 that are answered as failed.
     pub failed_per_mille: u32,
     /// Requests per 1,000 that are answered as shed.
     pub shed_per_mille: u32,
-    /// Requests per 1,000 whose answer is truncated, so that nothing can follow it on the connection.
+    /// Requests per 1,000 whose answer is truncated, so that no other answer can be read on the connection.
     pub malformed_per_mille: u32,
     /// Requests per 1,000 whose connection is reset before the answer.
     pub reset_per_mille: u32,
@@ -57,7 +57,7 @@
     behaviour: Mutex<Behaviour>,
     /// Seed of the next request's random numbers.
     next_seed: AtomicU64,
-    /// Changes when all connections must be reset.
+    /// Its value changes when all connections must be reset.
     resets: watch::Receiver<u64>,
 }
 
@@ -73,7 +73,8 @@
 }
 
 impl Engine {
-    /// Starts an engine. Connections to it are established only after `accept_delay`.
+    /// Starts an engine that reports its attempts to `world`. Connections to it are established only after
+    /// `accept_delay`. `seed` selects the random numbers of its requests.
     ///
     /// # Errors
     /// Fails if the listener cannot be created.
@@ -101,7 +102,7 @@
         Ok(Engine { id: id.to_owned(), address, shared, resets, accept_task })
     }
 
-    /// Changes the behaviour from now on.
+    /// Changes the behaviour of requests that arrive later. `hangs_until` also delays the requests in flight.
     pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         change(&mut self.shared.behaviour.lock().unwrap_or_else(PoisonError::into_inner));
     }
@@ -118,7 +119,8 @@
     }
 }
 
-/// Opens connections until the accept queue of a listener is full, so that further ones are not established.
+/// Opens connections until the accept queue of a listener is full, so that no further connection is
+/// established.
 async fn fill_accept_queue(address: SocketAddr) -> Vec<TcpStream> {
     let mut filler = Vec::new();
     while filler.len() < 16 {
@@ -141,7 +143,7 @@
     }
 }
 
-/// How an engine treats a request.
+/// How an engine answers a request.
 #[derive(Clone, Copy)]
 enum Reaction {
     Serve,
@@ -236,8 +238,8 @@
     }
 }
 
-/// Handles the complete commands of the input. Returns false when the rest exceeds the maximum length of a
-/// command.
+/// Handles and removes the complete commands of the input. Returns false if the incomplete command after them
+/// exceeds [`MAX_COMMAND_BYTES`].
 fn handle_input(
     input: &mut Vec<u8>,
     shared: &Arc<Shared>,
@@ -320,7 +322,7 @@
     bytes
 }
 
-/// Parses the first complete command of the input; also returns its length.
+/// Parses the first command of the input and returns its parts and its length; `None` if it is incomplete.
 fn parse_command(input: &[u8]) -> Option<(Vec<String>, usize)> {
     let mut offset = 0;
     let count = parse_number(input, &mut offset)?;
--- a/crates/fault-soak/src/feed.rs
+++ b/crates/fault-soak/src/feed.rs
@@ -11,26 +11,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Interval between comments on an open call.
+/// Interval between the comments that keep an open call alive.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum length of a request head.
+/// Length after which the rest of a request head is not read.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// How a feed treats calls.
+/// How a feed treats the calls of its manager.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum FeedMode {
-    /// Sends events.
+    /// Calls get events and comments.
     Serve = 0,
-    /// Connections stay open and get no events.
+    /// Calls stay open and get neither events nor comments.
     Silent = 1,
-    /// Connections are closed at once.
+    /// Open and new calls are closed.
     Down = 2,
-    /// The manager's feed is at another address: open and new connections are closed.
+    /// The manager's configuration names another feed address. Open and new calls are closed, as with `Down`.
     Moved = 3,
 }
 
-/// Endpoint list events so far, in order.
+/// Endpoint list events that were added so far, in order. Their numbers begin at 1.
 pub struct EventLog {
     world: Arc<World>,
     events: Mutex<Vec<String>>,
@@ -43,7 +43,7 @@
         Arc::new(EventLog { world: Arc::clone(world), events: Mutex::default(), count: watch::channel(0).0 })
     }
 
-    /// Adds an event, which `text` creates from its number, and returns the number.
+    /// Adds an event and returns its number, from which `text` creates the event's data.
     pub fn push(&self, text: impl FnOnce(u64) -> String) -> u64 {
         let mut events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         let number = events.len() as u64 + 1;
@@ -53,7 +53,7 @@
         number
     }
 
-    /// Texts of all events.
+    /// Data of all events so far, in order.
     pub fn all(&self) -> Vec<String> {
         self.events.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -67,7 +67,7 @@
 }
 
 impl Feed {
-    /// Starts a feed for this manager.
+    /// Starts a feed for the manager with this number, which sends the events of `log`.
     ///
     /// # Errors
     /// Fails if no port is free.
@@ -79,7 +79,7 @@
         Ok(Feed { address, mode })
     }
 
-    /// Changes how calls are treated.
+    /// Changes how open and new calls are treated.
     pub fn set_mode(&self, mode: FeedMode) {
         self.mode.store(mode as u8, Ordering::SeqCst);
     }
@@ -118,7 +118,8 @@
     }
 }
 
-/// Writes the events from `next` on, each in two pieces, and returns the number after the last.
+/// Writes the events from number `next` on, each in two pieces, and returns the number of the event after the
+/// last one written.
 async fn send_events(
     stream: &mut TcpStream,
     manager: usize,
@@ -138,7 +139,7 @@
     Ok(next)
 }
 
-/// Reads the head of a call and returns its Last-Event-ID, 0 without one.
+/// Reads the head of a call and returns its Last-Event-ID, or 0 if it has none.
 async fn read_last_event(stream: &mut TcpStream) -> io::Result<u64> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_BYTES {
--- a/crates/fault-soak/src/judge.rs
+++ b/crates/fault-soak/src/judge.rs
@@ -10,7 +10,7 @@
     Lost,
     /// An answer holds the rows that an engine returned for that request.
     WrongAnswer,
-    /// No attempt starts more than 0.1 s after its client left or cancelled.
+    /// No attempt starts more than 0.1 s after the request's client left or cancelled.
     SentAfterClientGone,
     /// The deadline sent to an engine exceeds the client's remaining time by at most 0.15 s.
     LateDeadline,
@@ -18,11 +18,11 @@
     ConcurrentAttempts,
     /// No attempt is sent to an engine more than 0.5 s after the manager was notified of its drain.
     SentToDraining,
-    /// A request that may have run is retried only as its class allows.
+    /// A request of which an attempt may have run is retried only as its class allows.
     UnsafeRepeat,
     /// Retries stay within the retry budget.
     RetryBudget,
-    /// An engine in slow start gets at most N + 3 sqrt(N) + 3 requests for N below 30, or N + 2 sqrt(N) + 2.
+    /// An engine in slow start gets no more requests than [`slow_start_bound`] allows.
     SlowStart,
     /// A process ends only on SIGTERM, with exit status 0, and is ready within 10 s of its start.
     Crash,
@@ -37,14 +37,15 @@
     pub rule: Rule,
     /// Time since the start of the run.
     pub at: Duration,
-    /// Manager, request and measured values.
+    /// Manager, request or engine, and the measured values, as text.
     pub detail: String,
 }
 
-/// Tolerance for the transmission of bytes between processes.
+/// Tolerance for the time that bytes take between processes.
 pub const TRANSIT: Duration = Duration::from_millis(50);
 
-/// Maximum number of attempts for an engine in slow start, where `n` requests of mean work are allowed.
+/// Maximum number of attempts for an engine in slow start whose limit is `n` requests of mean work: for n
+/// below 30 it is n + 3 sqrt(n) + 3, otherwise n + 2 sqrt(n) + 2.
 pub fn slow_start_bound(n: f64) -> f64 {
     if n < 30.0 {
         n + 3.0 * n.sqrt() + 3.0
@@ -53,8 +54,9 @@
     }
 }
 
-/// Largest excess of retries over the budget in any window of `span`; `None` without an excess. The platform
-/// tolerates 15 % and one attempt above the budget.
+/// Largest number of retries above the tolerated number in any window of length `span`; `None` if no window
+/// exceeds it. The budget is `free` retries and `share` retries per request of the window; the platform
+/// tolerates 15 % and one attempt above it. `retries` is in ascending order.
 pub fn retry_excess(
     requests: &[Instant],
     retries: &[Instant],
@@ -75,7 +77,7 @@
     worst
 }
 
-/// Number of violations of each rule.
+/// Number of violations of each rule that was violated.
 pub fn count_by_rule(violations: &[Violation]) -> BTreeMap<Rule, usize> {
     let mut counts = BTreeMap::new();
     for violation in violations {
--- a/crates/fault-soak/src/judge/tests.rs
+++ b/crates/fault-soak/src/judge/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn retry_excess_is_detected_in_a_window_between_two_without_retries() {
+fn retry_excess_is_reported_only_above_the_budget() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let requests: Vec<Instant> = (0..20).map(|i| at(i * 500)).collect();
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn slow_start_bound_depends_on_the_number_of_requests() {
+fn slow_start_bound_tolerates_fewer_deviations_from_thirty_requests_on() {
     assert!((slow_start_bound(25.0) - 43.0).abs() < 1e-9);
     assert!((slow_start_bound(100.0) - 122.0).abs() < 1e-9);
 }
--- a/crates/fault-soak/src/manager.rs
+++ b/crates/fault-soak/src/manager.rs
@@ -1,9 +1,9 @@
-//! The processes under test, which are started, signalled and ended by their own process ids only.
+//! The managers under test. Their processes are signalled and ended by process id only.
 
 use crate::client;
 use crate::judge::Rule;
 use crate::manager_endpoint::{Incarnation, ManagerEndpoint};
-use crate::shim::{SyscallFaults, VARIABLE};
+use crate::shim::{SyscallFaults, FAULTS_VARIABLE};
 use crate::world::World;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -15,31 +15,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time within which a started process must serve.
+/// Time within which a started process must answer the health check.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after SIGTERM after which the platform kills a process: the longest deadline (3 s at most) and
-/// another 0.7 s.
+/// Time between SIGTERM and the platform's SIGKILL: the longest deadline (at most 3 s) and another 0.7 s.
 const KILL_DELAY: Duration = Duration::from_millis(3_700);
 
-/// Settings shared by all managers of a run.
+/// Program, settings and folder that all managers of a run share.
 pub struct Deployment {
-    /// Path of the program.
+    /// Path of the program under test.
     pub program: PathBuf,
-    /// Path of the library that makes system calls fail.
+    /// Path of the compiled library that makes system calls fail.
     pub library: PathBuf,
-    /// Folder for configurations, logs and state.
+    /// Folder for the managers' configurations, logs and state.
     pub folder: PathBuf,
-    /// Settings of the configuration, as JSON.
+    /// Object under the key `settings` of each configuration, as JSON.
     pub settings: String,
     /// System call faults of every process.
     pub faults: SyscallFaults,
-    /// Further arguments of `serve`.
+    /// Further arguments of the program's `serve`, after `--config`.
     pub arguments: Vec<String>,
 }
 
 /// A manager and its current process.
 pub struct Manager {
-    /// Address and process states, for its clients.
+    /// Address and process states, shared with the clients.
     pub endpoint: Arc<ManagerEndpoint>,
     name: String,
     child: Option<Child>,
@@ -48,7 +47,7 @@
 }
 
 impl Manager {
-    /// Creates a manager without a process.
+    /// Creates a manager without a process, on a free port. `number` counts from 0.
     ///
     /// # Errors
     /// Fails if no port is free.
@@ -59,7 +58,7 @@
         Ok(Manager { endpoint: Arc::new(endpoint), name, child: None, starts: 0, world: Arc::clone(world) })
     }
 
-    /// Writes the configuration with the feed's address and the list events so far.
+    /// Replaces the manager's configuration file by one with this feed address and these list events.
     ///
     /// # Errors
     /// Fails if the manager's folder cannot be written.
@@ -92,13 +91,13 @@
         self.folder(deployment).join("config.json")
     }
 
-    /// Path of the log of all processes of this manager.
+    /// Path of the log that all processes of this manager append to.
     pub fn log_path(&self, deployment: &Deployment) -> PathBuf {
         deployment.folder.join(format!("{}.log", self.name))
     }
 
-    /// Starts a process and waits in the background until it serves. Its configuration holds the list events
-    /// up to `last_known`.
+    /// Starts a process and waits in the background until it serves. `last_known` is the number of the last
+    /// list event in its configuration.
     ///
     /// # Errors
     /// Fails if the log cannot be opened or the process cannot be started.
@@ -113,7 +112,7 @@
         let mut command = Command::new(&deployment.program);
         command.arg("serve").arg("--config").arg(self.config_path(deployment)).args(&deployment.arguments);
         command.env("TMPDIR", self.folder(deployment)).env("LD_PRELOAD", &deployment.library);
-        command.env(VARIABLE, deployment.faults.to_variable(seed)).env_remove("EDGE_FD");
+        command.env(FAULTS_VARIABLE, deployment.faults.to_variable(seed)).env_remove("EDGE_FD");
         command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
         self.world.manager_started(self.endpoint.number, last_known);
         self.child = Some(command.spawn()?);
@@ -149,24 +148,24 @@
         }
     }
 
-    /// Whether the process serves and got no SIGTERM.
+    /// Whether the manager has a process that has answered a health check and got no SIGTERM.
     pub fn is_serving(&self) -> bool {
         let serves = |incarnation: Incarnation| incarnation.is_up && incarnation.terminated_at.is_none();
         self.child.is_some() && self.endpoint.incarnation().is_some_and(serves)
     }
 
-    /// Sends SIGHUP, by which the process reads its configuration again.
+    /// Sends SIGHUP, on which the process reloads its configuration.
     pub fn reload(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Sends SIGTERM and records the time.
+    /// Sends SIGTERM and records the time in [`Manager::endpoint`].
     pub fn terminate(&self) {
         self.endpoint.change(|incarnation| incarnation.terminated_at = Some(Instant::now()));
         self.signal(Signal::SIGTERM);
     }
 
-    /// Sends SIGKILL and waits for the end of the process.
+    /// Sends SIGKILL and waits for the end of the process. Its unanswered requests don't count as lost.
     pub fn kill(&mut self) {
         self.endpoint.change(|incarnation| {
             incarnation.is_up = false;
@@ -178,8 +177,9 @@
         }
     }
 
-    /// Checks whether the process has ended, and reports an unexpected end as a violation. Kills it if it
-    /// runs for too long after SIGTERM. Returns true once when it has ended after SIGTERM.
+    /// Checks whether the process has ended, and reports an unexpected end as a violation. A process that
+    /// still runs [`KILL_DELAY`] after SIGTERM is killed. Returns true once for each process that ended after
+    /// SIGTERM.
     pub fn has_ended(&mut self) -> bool {
         let terminated_at = self.endpoint.incarnation().and_then(|incarnation| incarnation.terminated_at);
         let Some(child) = &mut self.child else { return false };
@@ -187,7 +187,7 @@
         let number = self.endpoint.number;
         match (ended, terminated_at) {
             (None, Some(at)) if at.elapsed() > KILL_DELAY + self.world.lag() => {
-                // The platform kills the process at this time. Its unanswered requests count as lost.
+                // The platform kills the process at this time: its unanswered requests count as lost.
                 let mut child = self.child.take();
                 child.iter_mut().for_each(|child| drop(child.kill().and_then(|()| child.wait())));
                 self.endpoint.change(|incarnation| incarnation.is_up = false);
@@ -212,7 +212,7 @@
     }
 }
 
-/// Log lines that report a violated invariant or a panic.
+/// Lines of a manager's log that report a violated invariant or a panic.
 ///
 /// # Errors
 /// Fails if the log cannot be read.
--- a/crates/fault-soak/src/nemesis.rs
+++ b/crates/fault-soak/src/nemesis.rs
@@ -10,12 +10,12 @@
 /// A fault. The affected managers and engines are drawn when it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Managers get SIGTERM, and are restarted when they have ended.
+    /// Managers get SIGTERM, and are restarted when their processes have ended.
     Terminate {
         /// Number of managers.
         managers: usize,
     },
-    /// Managers are killed and restarted.
+    /// Managers get SIGKILL and are restarted at once.
     Kill {
         /// Number of managers.
         managers: usize,
@@ -23,7 +23,7 @@
     /// All managers get a configuration with another feed address, and SIGHUP; the old feed closes 1.5 s
     /// later.
     Reload,
-    /// The feeds of half of the managers send no events.
+    /// The feeds of about half of the managers send nothing.
     SilentFeeds {
         /// Duration of the fault.
         duration: Duration,
@@ -45,7 +45,7 @@
         /// Duration of the fault.
         duration: Duration,
     },
-    /// All connections to an engine are reset.
+    /// All connections to some engines are reset.
     Reset {
         /// Number of engines.
         engines: usize,
@@ -64,19 +64,19 @@
     },
 }
 
-/// Faults of a run.
+/// Fault schedule of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Faults with their start times, in order.
+    /// Faults with the times at which they are injected, since the start of the load, in order.
     pub faults: Vec<(Duration, Fault)>,
-    /// System call faults in the processes.
+    /// System call faults of every process under test, throughout the run.
     pub syscalls: SyscallFaults,
 }
 
-/// Draws a plan for a run of this duration.
+/// Draws a plan for a run whose load has this duration. No group of faults starts in its last 5 s.
 pub fn draw(rng: &mut ChaCha8Rng, duration: Duration) -> Plan {
     let mut faults = Vec::new();
-    // No faults in the first seconds: managers start and learn about their engines.
+    // No fault is injected in the first 1.5 to 3 s, in which managers start and learn about their engines.
     let mut group_start = Duration::from_millis(rng.gen_range(1_500..3_000));
     while group_start + Duration::from_secs(5) < duration {
         for _ in 0..rng.gen_range(1..=3) {
--- a/crates/fault-soak/src/shim.rs
+++ b/crates/fault-soak/src/shim.rs
@@ -8,9 +8,10 @@
 /// C source of the library.
 const SOURCE: &str = include_str!("../shim/syscall_faults.c");
 /// Environment variable that configures the library.
-pub const VARIABLE: &str = "SYSCALL_FAULTS";
+pub const FAULTS_VARIABLE: &str = "SYSCALL_FAULTS";
 
-/// Frequencies of system call faults, in calls per 1,000. `shim/syscall_faults.c` describes each fault.
+/// Frequencies of system call faults, in failing calls per 1,000 where no other unit is given.
+/// `shim/syscall_faults.c` describes each fault.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SyscallFaults {
     /// Reads, writes and connects that are interrupted by a signal.
@@ -25,14 +26,14 @@
     pub socket: u32,
     /// Reads per 10,000 on which a connection to an engine or feed fails.
     pub broken: u32,
-    /// Opens of the configuration that fail.
+    /// Opens of the configuration file that fail.
     pub config: u32,
-    /// Steps of the wall clock, in order.
+    /// Steps of the wall clock, ordered by time.
     pub steps: Vec<ClockStep>,
 }
 
 impl SyscallFaults {
-    /// Value of [`VARIABLE`].
+    /// Value of [`FAULTS_VARIABLE`] for these faults, where `seed` selects the random numbers of the process.
     pub fn to_variable(&self, seed: u64) -> String {
         let mut text = format!(
             "seed={seed},eintr={},short={},accept={},connect={},socket={},broken={},config={}",
@@ -45,10 +46,10 @@
     }
 }
 
-/// Compiles the library into a folder with the C compiler `cc`, and returns its path.
+/// Compiles the library into an existing folder with the C compiler `cc`, and returns the library's path.
 ///
 /// # Errors
-/// Fails if there is no compiler, it reports an error, or the folder cannot be written.
+/// Fails if there is no C compiler, the compiler reports an error, or the folder cannot be written.
 pub fn build(folder: &Path) -> io::Result<PathBuf> {
     let source = folder.join("syscall_faults.c");
     let library = folder.join("syscall_faults.so");
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -19,35 +19,35 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Cores of each engine in the settings.
+/// Cores of each engine, as the settings state them.
 const ENGINE_CORES: f64 = 2.0;
-/// Window in which the load of an engine in slow start is limited.
+/// Length of the window in which the number of requests to an engine in slow start is limited.
 const SLOW_START_WINDOW: Duration = Duration::from_secs(2);
-/// Duration of slow start.
+/// Duration of an engine's slow start, `cold` in the settings.
 const SLOW_START: Duration = Duration::from_secs(15);
 /// Multiple of its capacity above which an engine in slow start fails.
-const FALL_MULTIPLE: f64 = 2.5;
+const OVERLOAD_FAILURE_MULTIPLE: f64 = 2.5;
 /// Fraction of its capacity that an engine starts with.
 const START_CAPACITY: f64 = 0.3;
-/// Retries that a manager may always make in each window.
+/// Retries that a manager may make in each window without any request.
 const FREE_RETRIES: f64 = 3.0;
-/// Further retries allowed per request of the window.
+/// Further retries that a manager may make per request of the window.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 /// Length of the retry budget's window.
 const RETRY_WINDOW: Duration = Duration::from_secs(5);
-/// Time after which a draining engine is gone.
+/// Time between the list events by which an engine drains and is gone.
 const DRAIN_DURATION: Duration = Duration::from_secs(2);
-/// Time after SIGHUP after which the old feed closes.
+/// Time between SIGHUP and the close of the old feed.
 const OLD_FEED_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 /// Interval between checks for due faults, clients and follow-ups.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time after the last request within which all answers arrive.
+/// Time for which the run continues after its load, so that all answers arrive.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Configuration of a run.
 #[derive(Clone, Debug)]
 pub struct SoakConfig {
-    /// Path of the program.
+    /// Path of the program under test.
     pub program: PathBuf,
     /// Folder of the run, which is created and not removed.
     pub folder: PathBuf,
@@ -55,11 +55,11 @@
     pub managers: usize,
     /// Number of stand-in engines.
     pub engines: usize,
-    /// Clients per second, over all managers.
+    /// New clients per second, over all managers.
     pub rate: f64,
-    /// Duration of the load.
+    /// Time during which clients are started and faults are injected.
     pub duration: Duration,
-    /// Seed of all random choices.
+    /// Seed of the fault schedule and of the stand-ins' random choices.
     pub seed: u64,
     /// Further arguments of the program's `serve`.
     pub arguments: Vec<String>,
@@ -72,13 +72,13 @@
     pub requests: usize,
     /// Number of attempts that engines received.
     pub attempts: usize,
-    /// Violations of the rules.
+    /// Violations of the rules, in the order in which they were recorded.
     pub violations: Vec<Violation>,
-    /// Planned faults with their start times.
+    /// Planned faults with the times at which they are injected, since the start of the load.
     pub faults: Vec<(Duration, Fault)>,
-    /// Settings of the system call faults.
+    /// System call faults of the processes under test.
     pub syscalls: shim::SyscallFaults,
-    /// Longest scheduling delay of this process.
+    /// Longest scheduling delay of the test process during the run.
     pub longest_lag: Duration,
 }
 
@@ -97,20 +97,20 @@
     managers: Vec<Manager>,
     /// Two feeds of each manager.
     feeds: Vec<[Feed; 2]>,
-    /// Index of the feed that each manager's configuration names.
+    /// For each manager, the index in `feeds` of the feed that its configuration names.
     active_feeds: Vec<usize>,
     engines: Vec<Engine>,
     next_engine: usize,
     /// Pending follow-ups with their due times.
     follow_ups: Vec<(Instant, FollowUp)>,
-    /// Managers that are restarted when they have ended.
+    /// Managers that got SIGTERM and are restarted when their processes have ended.
     terminating: Vec<usize>,
     burst_until: Instant,
     rng: ChaCha8Rng,
     longest_lag: Duration,
 }
 
-/// Carries out one run.
+/// Carries out one run and checks its rules. Violations are part of the report, not errors.
 ///
 /// # Errors
 /// Fails if a stand-in or process cannot be started, or a file cannot be written or read.
@@ -127,7 +127,7 @@
     soak.finish(plan)
 }
 
-/// Settings of the managers' configuration, as JSON.
+/// Object under the key `settings` of the managers' configurations, as JSON.
 fn settings(managers: usize) -> String {
     format!(
         r#"{{"kindOfService":"queries","zones":["hall-a","hall-b"],"shapes":["std"],"siblings":{managers},
@@ -141,16 +141,17 @@
  "limits":{{"cancel":true,"maxAttempts":6,"maxRetryAfter":2.0,"maxStreams":32,"connIdle":4.0,"connectTimeout":2.0}},
  "loadReport":{{"via":"piggyback","fields":["rif","q"]}},
  "invariants":{{"budgetShare":{RETRIES_PER_REQUEST},"freeResends":{FREE_RETRIES},"ratioSpan":5.0,"drainGrace":0.5,
-  "fallMultiple":{FALL_MULTIPLE},"overloadFor":2.0,"startCapacity":{START_CAPACITY},"cold":15.0}}}}"#
+  "fallMultiple":{OVERLOAD_FAILURE_MULTIPLE},"overloadFor":2.0,"startCapacity":{START_CAPACITY},"cold":15.0}}}}"#
     )
 }
 
-/// Maximum number of requests of mean work for an engine in slow start within a window.
+/// Maximum number of attempts that an engine in slow start may get within a window: the limit for requests of
+/// mean work, with the tolerance of [`slow_start_bound`].
 fn slow_start_requests() -> f64 {
     // Fraction of its capacity that the engine has at the end of its first window.
     let fraction =
         START_CAPACITY + (1.0 - START_CAPACITY) * SLOW_START_WINDOW.as_secs_f64() / SLOW_START.as_secs_f64();
-    let work = FALL_MULTIPLE * fraction * ENGINE_CORES * SLOW_START_WINDOW.as_secs_f64();
+    let work = OVERLOAD_FAILURE_MULTIPLE * fraction * ENGINE_CORES * SLOW_START_WINDOW.as_secs_f64();
     slow_start_bound(work / MEAN_WORK.as_secs_f64())
 }
 
@@ -161,7 +162,7 @@
     )
 }
 
-/// Data of a list event.
+/// Data of a list event, whose number is also the list's revision.
 fn event(number: u64, is_complete: bool, members: &[String]) -> String {
     let members = members.join(",");
     format!(
@@ -232,7 +233,7 @@
         manager.start(&self.deployment, events.len() as u64)
     }
 
-    /// Sends clients and injects faults, then waits for the last answers and ends all processes.
+    /// Starts clients and injects faults, then waits for the last answers and ends all processes.
     async fn run_plan(&mut self, plan: &Plan) -> io::Result<()> {
         let start = Instant::now();
         let mut next_fault = 0;
@@ -258,7 +259,7 @@
         self.end_all().await
     }
 
-    /// Starts a client of a drawn manager that accepts connections.
+    /// Starts a client of a randomly drawn manager among those that accept connections.
     fn start_client(&mut self) {
         let accepting: Vec<&Manager> =
             self.managers.iter().filter(|m| m.endpoint.takes_connections()).collect();
@@ -311,7 +312,7 @@
         let mut serving: Vec<usize> =
             (0..self.managers.len()).filter(|n| self.managers[*n].is_serving()).collect();
         serving.shuffle(&mut self.rng);
-        // At least two continue to serve.
+        // At least two managers continue to serve.
         serving.truncate(count.min(serving.len().saturating_sub(2)));
         serving
     }
@@ -326,7 +327,7 @@
         }
     }
 
-    /// Gives all serving managers a configuration that names their other feed.
+    /// Gives each serving manager a configuration that names the other one of its two feeds, and sends SIGHUP.
     fn reload(&mut self) -> io::Result<()> {
         let events = self.log.all();
         for number in 0..self.managers.len() {
@@ -346,7 +347,7 @@
         Ok(())
     }
 
-    /// Changes the feeds of a fraction of the managers for some time.
+    /// Changes the mode of the active feed for `duration`, for each manager with probability `fraction`.
     fn change_feeds(&mut self, mode: FeedMode, duration: Duration, fraction: f64) {
         for number in 0..self.managers.len() {
             if self.rng.gen_bool(fraction) {
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Drains a drawn engine and starts another one, which is cold.
+    /// Lists a randomly drawn engine as draining and starts another one, which is cold.
     async fn replace_engine(&mut self) -> io::Result<()> {
         if self.engines.len() <= self.config.engines / 2 {
             return Ok(());
@@ -395,7 +396,7 @@
         let due: Vec<(Instant, FollowUp)> = due;
         for (_, follow_up) in due {
             match follow_up {
-                // A feed that its manager's configuration names again by now stays open.
+                // A feed stays open if its manager's configuration has named it again since.
                 FollowUp::FeedMode { manager, feed_index, mode: FeedMode::Moved }
                     if self.active_feeds[manager] == feed_index => {}
                 FollowUp::FeedMode { manager, feed_index, mode: FeedMode::Serve }
@@ -443,7 +444,7 @@
         Ok(())
     }
 
-    /// Checks the rules that need the whole run, and creates the report.
+    /// Checks the rules that can be checked only after the run, and creates the report.
     fn finish(self, plan: Plan) -> io::Result<SoakReport> {
         self.world.check_overlaps();
         for (manager, requests, retries) in self.world.retry_times() {
--- a/crates/fault-soak/src/world.rs
+++ b/crates/fault-soak/src/world.rs
@@ -1,4 +1,5 @@
-//! Observations about every request, engine and manager during a run, and the rules that are checked at once.
+//! Observations about every request, engine and manager during a run, and the rules that are checked at each
+//! observation.
 
 use crate::clock::ClockStep;
 use crate::judge::{Rule, Violation, TRANSIT};
@@ -7,29 +8,31 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Classes of the deployment under test, by class number.
+/// Classes of the deployment under test, by class index. The settings list them in this order.
 pub const CLASSES: [Class; 3] = [
     Class { name: "lane-rate", repeat: Repeat::Safe },
     Class { name: "tariff-load", repeat: Repeat::Keyed },
     Class { name: "fee-post", repeat: Repeat::Never },
 ];
-/// Time within which a request with an idempotency key may be retried.
+/// Time after its first attempt within which a request with an idempotency key may be retried.
 pub const KEYED_WINDOW: Duration = Duration::from_secs(3);
-/// Time after its client has left during which an attempt may still start.
+/// Time after the departure of a client during which an attempt of its request may still start.
 const CLIENT_GONE_GRACE: Duration = Duration::from_millis(100);
-/// Tolerance of the deadline that an engine gets.
+/// Tolerance for the excess of an engine's deadline over the time that the client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Grace period of a drain, including the platform's tolerance.
+/// Time after the delivery of a drain during which attempts may still be sent to the engine: the grace period
+/// of 0.5 s in the settings and the platform's tolerance.
 const DRAIN_GRACE: Duration = Duration::from_millis(550);
-/// Time after which a list event counts as delivered, whether it was written to the manager or not.
+/// Time after its creation at which a list event counts as delivered, whether it was written to the manager
+/// or not.
 const MAX_DELIVERY_TIME: Duration = Duration::from_secs(7);
 /// Two attempts of one request count as concurrent only if the end of the first is observed later than this
 /// after the start of the second: the events of different connections may be read in either order.
 const OVERLAP_TOLERANCE: Duration = Duration::from_millis(60);
-/// Maximum number of stored violations.
+/// Number of violations after which no more are stored.
 const MAX_VIOLATIONS: usize = 10_000;
 
-/// When the requests of a class may be retried.
+/// Rule for the retries of a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// Retries are always safe.
@@ -43,9 +46,9 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Name in the settings.
+    /// Name of the class in the settings.
     pub name: &'static str,
-    /// When its requests may be retried.
+    /// Rule for the retries of its requests.
     pub repeat: Repeat,
 }
 
@@ -59,7 +62,8 @@
     never_ran: bool,
 }
 
-/// One request, as sent by its client.
+/// One request: when its client must have the answer, when the client left, and the attempts that engines
+/// received.
 #[derive(Clone, Debug)]
 struct RequestRecord {
     manager: usize,
@@ -72,16 +76,17 @@
 /// State of one engine according to the list and to its start.
 #[derive(Clone, Debug, Default)]
 struct EngineRecord {
-    /// Number of the list event by which it drains or is gone.
+    /// Number of the first list event by which the engine drains or is gone; `None` while it is ready.
     drained_by: Option<u64>,
-    /// Limit on its requests during slow start, if it started during the run.
-    cold_start: Option<ColdStart>,
+    /// Limit on the engine's requests during slow start; `None` if it started before the run.
+    slow_start: Option<SlowStartLimit>,
 }
 
 /// Limit on the requests of an engine in slow start.
 #[derive(Clone, Debug)]
-struct ColdStart {
-    /// Maximum number of requests of mean work in each window.
+struct SlowStartLimit {
+    /// Maximum number of attempts within any time span of length `window`, with the tolerance for requests
+    /// whose work differs from the mean.
     max_requests: f64,
     until: Instant,
     window: Duration,
@@ -95,11 +100,11 @@
     engines: HashMap<String, EngineRecord>,
     /// Time at which each list event was added to the feed; the first element is event 1.
     pushed: Vec<Instant>,
-    /// Time at which each event was written to a manager, by manager and event number.
+    /// Time at which each list event was written to a manager, by manager and event number.
     delivered: HashMap<(usize, u64), Instant>,
-    /// Times of the requests of each manager.
+    /// Times at which the requests to each manager's present process were sent.
     request_times: HashMap<usize, Vec<Instant>>,
-    /// Times of the retries of each manager.
+    /// Times at which engines received the retries of each manager's present process.
     retry_times: HashMap<usize, Vec<Instant>>,
     violations: Vec<Violation>,
     next_attempt: u64,
@@ -109,10 +114,10 @@
 pub struct World {
     /// Time at which the run started.
     pub start: Instant,
-    /// Steps of the wall clock.
+    /// Steps of the wall clock of the processes under test, ordered by time.
     pub steps: Vec<ClockStep>,
     state: Mutex<State>,
-    /// Longest recent scheduling delay of this process, in microseconds.
+    /// Longest scheduling delay of this process within about the last second, in microseconds.
     lag_us: AtomicU64,
 }
 
@@ -126,12 +131,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Scheduling delay of this process: an event may have happened this much earlier than its recorded time.
+    /// Longest scheduling delay of this process within about the last second: an event may have happened this
+    /// much earlier than its recorded time.
     pub fn lag(&self) -> Duration {
         Duration::from_micros(self.lag_us.load(Ordering::Relaxed))
     }
 
-    /// Measures [`World::lag`] during the run, as the maximum over about one second.
+    /// Measures [`World::lag`] every 5 ms. Never returns: the caller aborts the task.
     pub async fn measure_lag(&self) {
         let interval = Duration::from_millis(5);
         let mut recent: std::collections::VecDeque<u64> = std::collections::VecDeque::new();
@@ -146,7 +152,7 @@
         }
     }
 
-    /// Records a violation of a rule.
+    /// Records a violation of a rule, found now.
     pub fn report_violation(&self, rule: Rule, detail: String) {
         self.add_violation(&mut self.state(), rule, detail);
     }
@@ -157,7 +163,7 @@
         }
     }
 
-    /// A client has written the last byte of a request.
+    /// Records that a client has written the last byte of a request, whose deadline is `timeout` from now.
     pub fn request_sent(&self, id: u64, manager: usize, class: usize, timeout: Duration) {
         let now = Instant::now();
         let mut state = self.state();
@@ -170,19 +176,21 @@
             client_gone_at: None,
             attempts: Vec::new(),
         });
-        // A request that crossed the close of an idle connection is sent again.
+        // A request that crossed the close of an idle connection is sent again: the later deadline applies.
         record.deadline = record.deadline.max(deadline);
     }
 
-    /// A client has closed its connection, or cancelled its request.
+    /// Records that a client has closed its connection or cancelled its request. Only the first call per
+    /// request counts.
     pub fn client_gone(&self, id: u64) {
         if let Some(request) = self.state().requests.get_mut(&id) {
             request.client_gone_at.get_or_insert_with(Instant::now);
         }
     }
 
-    /// An engine has read an attempt, which is checked against the rules. Returns the attempt's id, for
-    /// [`World::attempt_ended`], or `None` if no client sent the request.
+    /// Records that an engine has read an attempt with a deadline of `wait`, and checks the attempt against
+    /// the rules. Returns the attempt's id for [`World::attempt_ended`], or `None` if no client sent the
+    /// request.
     pub fn attempt_started(&self, engine: &str, id: u64, wait: Duration) -> Option<u64> {
         let lag = self.lag() + TRANSIT;
         let now = Instant::now();
@@ -232,7 +240,8 @@
         Some(attempt_id)
     }
 
-    /// An attempt has ended: it was answered or cancelled, or its connection ended.
+    /// Records that an attempt was answered or cancelled, or that its connection ended. `never_ran` says that
+    /// the engine rejected it unexecuted.
     pub fn attempt_ended(&self, request_id: u64, attempt_id: u64, never_ran: bool) {
         if let Some(request) = self.state().requests.get_mut(&request_id) {
             if let Some(attempt) =
@@ -244,7 +253,7 @@
         }
     }
 
-    /// Checks, at the end of the run, that no two attempts of a request were in flight at once.
+    /// Checks that no two attempts of a request were in flight at once. Called at the end of the run.
     pub fn check_overlaps(&self) {
         let mut guard = self.state();
         let mut overlaps = Vec::new();
@@ -262,17 +271,19 @@
         }
     }
 
-    /// The next list event was added to the feed.
+    /// Records that the next list event was added to the feeds.
     pub fn event_pushed(&self) {
         self.state().pushed.push(Instant::now());
     }
 
-    /// An event was written to a manager.
+    /// Records that a list event was written to a manager. Only the first time counts.
     pub fn event_delivered(&self, manager: usize, event: u64) {
         self.state().delivered.entry((manager, event)).or_insert_with(Instant::now);
     }
 
-    /// A manager's process has started; its configuration holds the events up to `last_known`.
+    /// Records that a process of a manager is started, whose configuration holds the list events up to number
+    /// `last_known`. The request and retry times of its predecessor are dropped: each process has its own
+    /// retry budget.
     pub fn manager_started(&self, manager: usize, last_known: u64) {
         let mut state = self.state();
         state.delivered.retain(|(owner, _), _| *owner != manager);
@@ -283,21 +294,22 @@
         state.retry_times.remove(&manager);
     }
 
-    /// An engine is listed by this event: as ready, or as draining or gone.
+    /// Records that list event number `event` lists an engine as ready, or as draining or gone.
     pub fn engine_listed(&self, engine: &str, is_ready: bool, event: u64) {
         let mut state = self.state();
         let record = state.engines.entry(engine.to_owned()).or_default();
         record.drained_by = if is_ready { None } else { record.drained_by.or(Some(event)) };
     }
 
-    /// An engine has started cold: it may get `max_requests` requests in each `window` up to `until`.
+    /// Records that an engine has started cold: up to `until` it may get `max_requests` requests in each
+    /// `window`.
     pub fn engine_started(&self, engine: &str, max_requests: f64, window: Duration, until: Instant) {
-        let cold_start =
-            ColdStart { max_requests, until, window, started_attempts: Vec::new(), is_reported: false };
-        self.state().engines.entry(engine.to_owned()).or_default().cold_start = Some(cold_start);
+        let slow_start =
+            SlowStartLimit { max_requests, until, window, started_attempts: Vec::new(), is_reported: false };
+        self.state().engines.entry(engine.to_owned()).or_default().slow_start = Some(slow_start);
     }
 
-    /// Managers that made retries, each with the times of its requests and of its retries.
+    /// Managers whose present process made retries, each with the times of its requests and of its retries.
     pub fn retry_times(&self) -> Vec<(usize, Vec<Instant>, Vec<Instant>)> {
         let state = self.state();
         let times = state.retry_times.iter().map(|(manager, retries)| {
@@ -307,12 +319,12 @@
         times.collect()
     }
 
-    /// Violations recorded so far.
+    /// Violations recorded so far, in order.
     pub fn violations(&self) -> Vec<Violation> {
         self.state().violations.clone()
     }
 
-    /// Number of requests sent, and of attempts that engines received.
+    /// Number of requests that clients sent and number of attempts that engines received, in this order.
     pub fn totals(&self) -> (usize, usize) {
         let state = self.state();
         (state.requests.len(), state.requests.values().map(|request| request.attempts.len()).sum())
@@ -336,16 +348,17 @@
     (late > DRAIN_GRACE + lag).then_some(late)
 }
 
-/// Number of attempts that a cold engine got in its window, if it exceeds the limit for the first time.
+/// Records an attempt at an engine. Returns the number of attempts within the last window if the engine is in
+/// slow start and exceeds its limit for the first time.
 fn attempts_above_slow_start(state: &mut State, engine: &str, now: Instant) -> Option<usize> {
-    let cold = state.engines.get_mut(engine)?.cold_start.as_mut()?;
-    if now > cold.until {
+    let limit = state.engines.get_mut(engine)?.slow_start.as_mut()?;
+    if now > limit.until {
         return None;
     }
-    cold.started_attempts.push(now);
-    cold.started_attempts.retain(|started_at| now - *started_at <= cold.window);
-    let count = cold.started_attempts.len();
-    let is_over = count as f64 > cold.max_requests
-        && !std::mem::replace(&mut cold.is_reported, count as f64 > cold.max_requests);
+    limit.started_attempts.push(now);
+    limit.started_attempts.retain(|started_at| now - *started_at <= limit.window);
+    let count = limit.started_attempts.len();
+    let is_over = count as f64 > limit.max_requests
+        && !std::mem::replace(&mut limit.is_reported, count as f64 > limit.max_requests);
     is_over.then_some(count)
 }
--- a/tests/support/admin_client.rs
+++ b/tests/support/admin_client.rs
@@ -1,10 +1,10 @@
-//! Calls to the admin address.
+//! A client for calls to the admin address.
 
 use super::WAIT_TIMEOUT;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Makes one call and returns its status and body.
+/// Makes one HTTP call and returns the status and the body of the response.
 pub fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(to).expect("connected");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
@@ -16,7 +16,7 @@
     (status, text.split_once("\r\n\r\n").expect("a head").1.to_owned())
 }
 
-/// Reads a metric from `/admin/stats`.
+/// Reads the metric `edge.NAME` from `/admin/stats`. Panics if it is missing.
 pub fn metric(to: SocketAddr, name: &str) -> u64 {
     let (status, body) = call(to, "GET", "/admin/stats", "");
     assert_eq!(status, 200);
@@ -24,7 +24,7 @@
     line.unwrap_or_else(|| panic!("no {name} in {body}")).parse().expect("a number")
 }
 
-/// Body of a cordon or uncordon call for an engine.
+/// Body of a cordon or uncordon call for the engine with this id.
 pub fn target_body(id: &str) -> String {
     format!(r#"{{"target":"{id}"}}"#)
 }
--- a/tests/support/authority.rs
+++ b/tests/support/authority.rs
@@ -1,5 +1,5 @@
-//! A stand-in ACME authority (RFC 8555) on loopback: it verifies signatures, nonces, URLs and challenges,
-//! signs certificates with any lifetime, and can reject orders.
+//! A stand-in ACME authority (RFC 8555) on loopback. It verifies signatures, nonces, URLs and challenges,
+//! signs certificates with the lifetime that the test chooses, and can reject orders.
 #![allow(dead_code)]
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD as B64;
@@ -33,8 +33,8 @@
 }
 
 impl Authority {
-    /// Opens TLS as a PostgreSQL client that trusts only this authority's root, sends `startup`, and reads up
-    /// to ReadyForQuery.
+    /// Opens TLS as a PostgreSQL client that trusts only this authority's root and expects a certificate for
+    /// `name`, sends `startup`, and reads up to ReadyForQuery.
     pub fn secure(&self, mut stream: TcpStream, name: &'static str, startup: &[u8]) -> Tls {
         stream.write_all(&[&8u32.to_be_bytes()[..], &80_877_103u32.to_be_bytes()].concat()).expect("written");
         let mut reply = [0];
@@ -61,10 +61,10 @@
 struct State {
     nonces: BTreeSet<String>,
     /// Number of nonces issued.
-    next: u64,
+    issued_nonces: u64,
     /// Account keys by account URL.
     accounts: BTreeMap<String, Value>,
-    /// Names, status and certificate of each order.
+    /// DNS names, status and certificate (PEM, empty until it is signed) of each order.
     orders: Vec<(Vec<String>, &'static str, String)>,
     rejects_orders: bool,
     rejected_orders: usize,
@@ -72,8 +72,10 @@
 }
 
 pub struct Authority {
+    /// URL of the ACME directory.
     pub directory: String,
-    /// Root certificate of the authority's own endpoint and of the certificates that it signs, as PEM.
+    /// Root certificate, as PEM, which signs the certificate of the authority's own endpoint and those of the
+    /// orders.
     pub root: String,
     pub root_der: CertificateDer<'static>,
     state: Arc<Mutex<State>>,
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Sets whether new orders are rejected.
+    /// Sets whether new orders are rejected, with status 429 (`rateLimited`).
     pub fn set_rejects_orders(&self, rejects_orders: bool) {
         self.state.lock().expect("unpoisoned").rejects_orders = rejects_orders;
     }
@@ -152,6 +154,7 @@
     }
 }
 
+/// HTTP status, `Location` header and body of a response.
 type Reply = (u16, Option<String>, Value);
 
 #[expect(clippy::too_many_lines, reason = "a stand-in answers each step of its protocol in one place")]
@@ -189,8 +192,8 @@
     };
     let nonce = {
         let mut state = shared.state.lock().expect("unpoisoned");
-        state.next += 1;
-        let nonce = B64.encode(format!("nonce-{}", state.next));
+        state.issued_nonces += 1;
+        let nonce = B64.encode(format!("nonce-{}", state.issued_nonces));
         state.nonces.insert(nonce.clone());
         nonce
     };
@@ -212,11 +215,12 @@
     let _ = stream.flush();
 }
 
-fn decoded(v: &Value) -> Result<Vec<u8>, (&'static str, String)> {
-    B64.decode(v.as_str().unwrap_or("")).map_err(|_| ("malformed", "a part is not base64url".into()))
+fn decoded(value: &Value) -> Result<Vec<u8>, (&'static str, String)> {
+    B64.decode(value.as_str().unwrap_or("")).map_err(|_| ("malformed", "a part is not base64url".into()))
 }
 
-/// Verifies a JWS and carries out its request.
+/// Verifies the JWS in `body` and carries out its request. An error holds the last part of the ACME error
+/// type and a detail text.
 #[expect(clippy::too_many_lines, reason = "a stand-in answers each step of its protocol in one place")]
 fn handle_signed(shared: &Shared, path: &str, body: &[u8]) -> Result<Reply, (&'static str, String)> {
     let problem = |kind: &'static str, why: &str| (kind, why.to_owned());
@@ -335,7 +339,7 @@
     B64.encode(format!("token-number-{n}"))
 }
 
-/// Fetches the response to an http-01 challenge.
+/// Fetches the key authorization of an http-01 challenge; `None` without a response of status 200.
 fn fetch_challenge(address: SocketAddr, token: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     write!(stream, "GET /.well-known/acme-challenge/{token} HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files: output of an earlier version of the program, with which the present output is compared.
 //!
-//! `GOLDEN_WRITE=1` with `SPRUCELINK_PROGRAM` set to another program's file rewrites the golden files from
-//! that program's output. Such a run fails every test that wrote a file, so that it can't be mistaken for a
-//! check.
+//! `GOLDEN_WRITE=1` with `SPRUCELINK_PROGRAM` set to the path of another program rewrites the golden files
+//! from the output of that program. Every test that writes a file then fails, so that the run can't be
+//! mistaken for a check.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -17,7 +17,8 @@
     ["GOLDEN_WRITE", "SPRUCELINK_PROGRAM"].iter().all(|name| std::env::var_os(name).is_some())
 }
 
-/// Compares a text with a golden file, line by line. Called once per test.
+/// Compares a text with a golden file, line by line. A test calls this once, because a run that rewrites
+/// golden files panics here after the first file.
 pub fn assert_matches(name: &str, actual: &str) {
     let path = path(name);
     if is_writing() {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -17,14 +17,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time limit of waits for an expected event. Never used to show that an event doesn't happen.
+/// Time limit of waits for an expected event. It is never used to show that an event doesn't happen.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A command that an engine received.
 #[derive(Clone, Debug)]
 pub struct ReceivedCommand {
     pub received_at: Instant,
-    /// Command word, request id, fields and statement for `do`.
+    /// Bulk strings of the command. For `do`: command word, request id, fields and statement.
     pub parts: Vec<String>,
 }
 
@@ -39,9 +39,9 @@
 pub enum Reply {
     /// Serves a result that consists of these pages.
     Pages(Vec<String>),
-    /// Never answers.
+    /// Never answers, and keeps the connection open.
     Hold,
-    /// Sends an answer of this status word, without a body.
+    /// Sends an answer with this status word and an empty body.
     Word(&'static str),
     /// Sends these bytes, with each `@` replaced by the request's id.
     Raw(String),
@@ -167,7 +167,7 @@
 fn answer(to: &mut TcpStream, parts: &[&str]) {
     let mut out = format!("*{}\r\n", parts.len());
     parts.iter().for_each(|p| out.push_str(&format!("${}\r\n{p}\r\n", p.len())));
-    // Errors are ignored: a test that needs the connection notices a lost one by itself.
+    // Errors are ignored: a test that needs the connection fails by itself when the connection is lost.
     let _ = to.write_all(out.as_bytes());
 }
 
@@ -207,16 +207,17 @@
     let _ = out.shutdown(std::net::Shutdown::Both);
 }
 
-/// A stand-in control feed: sends the events that the test adds.
+/// A stand-in control feed, which sends the events that the test adds.
 pub struct Feed {
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
-    /// `Last-Event-ID` of every call so far.
+    /// `Last-Event-ID` of every call so far, in order; 0 for a call without this header.
     pub calls: Arc<Mutex<Vec<u64>>>,
     /// Incremented to close all open calls.
     close_generation: Arc<AtomicU64>,
     open_calls: Arc<AtomicU64>,
-    /// Number of an event, and the text that the first call to reach it gets in its place.
+    /// Number of an event, and the malformed text sent in place of the event to the first call that reaches
+    /// it.
     malformed: Arc<Mutex<Option<(usize, String)>>>,
 }
 
@@ -252,7 +253,7 @@
                 thread::spawn(move || {
                     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
                     let mut alive = stream.write_all(head.as_bytes()).is_ok();
-                    // Repeats the last event that the caller has: it must ignore the repeat.
+                    // Sends the last event that the caller already has once more: the caller must ignore it.
                     let mut next = last_event.saturating_sub(1) as usize;
                     while alive {
                         let new_events = sent.lock().expect("unpoisoned")[next..].to_vec();
@@ -279,7 +280,7 @@
         self.open_calls.load(Ordering::SeqCst)
     }
 
-    /// Sends an event that the first call to reach it gets as `malformed`, and later calls as `event`.
+    /// Adds `event` to the feed. The first call that reaches the event gets `malformed` in its place.
     pub fn send_malformed_once(&self, event: impl Into<String>, malformed: impl Into<String>) {
         let mut events = self.events.lock().expect("unpoisoned");
         *self.malformed.lock().expect("unpoisoned") = Some((events.len() + 1, malformed.into()));
@@ -330,16 +331,16 @@
     lines: Arc<Mutex<Vec<String>>>,
     /// Address of the platform's front.
     pub platform: SocketAddr,
-    /// Address of the second front, if it is on.
+    /// Address of the second front; `None` without an operator's file.
     pub second: Option<SocketAddr>,
-    /// Address for admin calls, if it is open.
+    /// Address for admin calls; `None` without `EDGE_OPERATOR`.
     pub operators: Option<SocketAddr>,
     dir: std::path::PathBuf,
 }
 
 static NEXT_DIR: AtomicU64 = AtomicU64::new(0);
 
-/// Path of the program under test: this build's, or that in `SPRUCELINK_PROGRAM`.
+/// Path of the program under test: `SPRUCELINK_PROGRAM` if it is set, otherwise the program of this build.
 pub fn program_path() -> std::ffi::OsString {
     std::env::var_os("SPRUCELINK_PROGRAM").unwrap_or_else(|| env!("CARGO_BIN_EXE_sprucelink").into())
 }
@@ -353,8 +354,8 @@
 }
 
 impl Program {
-    /// Starts the program with these engines, by id, and with the second front if there is an operator's
-    /// file.
+    /// Starts the program with these engines, given by id and address. `operator` is the text of the
+    /// operator's file, with which the second front is started.
     pub fn start(engines: &[(&str, SocketAddr)], feed: Option<&Feed>, operator: Option<&str>) -> Program {
         Program::start_limited(engines, feed, operator, 192, 1024)
     }
@@ -401,8 +402,8 @@
         Program::launch_in(&vars, Some(listener), engines, None, None, (192, 1024), SETTINGS, &[])
     }
 
-    /// As [`Program::launch`], with these additional environment variables and an inherited listening socket
-    /// as descriptor 5.
+    /// As [`Program::launch`], with additional environment variables and an inherited listening socket as
+    /// descriptor 5. The limits are megabytes of memory and a number of descriptors.
     #[allow(clippy::too_many_arguments, reason = "the functions above name their arguments")]
     pub fn launch_in(
         vars: &[(&str, &str)],
@@ -443,7 +444,7 @@
         program
     }
 
-    /// Starts a command and collects its log lines. The caller sets the addresses.
+    /// Starts a command and collects its log lines. The caller sets the program's addresses.
     fn spawn(mut command: Command, dir: std::path::PathBuf) -> Program {
         let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("started");
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -493,7 +494,7 @@
         self.signal("-HUP");
     }
 
-    /// The configuration file's text with another feed address.
+    /// Returns the configuration file's text with another feed address.
     pub fn config_with_feed(&self, feed: SocketAddr) -> String {
         let text = std::fs::read_to_string(self.dir.join("config.json")).expect("read");
         let mut json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -527,7 +528,7 @@
     }
 }
 
-/// The field `address` of a log line, in text or JSON format.
+/// Parses the field `address` of a log line in text or JSON format.
 fn logged_address(line: &str) -> SocketAddr {
     let json: Option<serde_json::Value> =
         serde_json::from_str(line).ok().filter(serde_json::Value::is_object);
@@ -646,12 +647,12 @@
     }
 }
 
-/// Types of messages, one character each.
+/// Type bytes of the messages, one character per message.
 pub fn message_types(messages: &[Message]) -> String {
     messages.iter().map(|m| char::from(m.0)).collect()
 }
 
-/// The fields of the first error among messages: code, message, detail and hint.
+/// Code, message, detail and hint of the first ErrorResponse among the messages; absent fields are empty.
 pub fn error_fields(messages: &[Message]) -> [String; 4] {
     let body = &messages.iter().find(|m| m.0 == b'E').expect("an error").1;
     let fields: Vec<(u8, String)> = body
@@ -663,7 +664,7 @@
         .map(|tag| fields.iter().find(|f| f.0 == tag).map_or(String::new(), |f| f.1.clone()))
 }
 
-/// The rows among messages, columns joined by `|`.
+/// Rows of the DataRow messages, with the columns of each joined by `|`.
 pub fn rows(messages: &[Message]) -> Vec<String> {
     let row = |body: &[u8]| {
         let (mut offset, mut columns) = (2, Vec::new());
--- a/tests/support/resource_limits.rs
+++ b/tests/support/resource_limits.rs
@@ -6,7 +6,8 @@
 use std::net::Shutdown;
 use std::sync::atomic::AtomicU8;
 
-/// Text of a configuration with these engines and this feed address, where a server need not listen.
+/// Text of a configuration with these engines, this feed address and a limit of `sockets` descriptors. No
+/// server needs to listen at the feed address.
 pub fn config(
     engines: &[(&str, SocketAddr)],
     feed: Option<SocketAddr>,
@@ -23,8 +24,8 @@
     )
 }
 
-/// Starts the program with this configuration and these arguments, with the operators' address open. With
-/// `descriptors`, the shell sets that limit on open files before it executes the program.
+/// Starts the program with this configuration and these arguments, with the operators' address open. If
+/// `descriptors` is given, the shell sets it as the limit on open files before it executes the program.
 pub fn start(config: &str, descriptors: Option<usize>, extra_args: &[&str]) -> Program {
     let dir = scratch_dir();
     std::fs::write(dir.join("config.json"), config).expect("written");
@@ -42,7 +43,7 @@
     program
 }
 
-/// Number of descriptors that a process has open; 0 if it has ended.
+/// Number of descriptors that the process with this id has open; 0 if it has ended.
 pub fn descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
@@ -68,14 +69,14 @@
         DescriptorWatch { stop, sampler }
     }
 
-    /// Ends the sampling and returns the maximum.
+    /// Ends the sampling and returns the maximum number of open descriptors.
     pub fn peak(self) -> usize {
         self.stop.store(1, Ordering::SeqCst);
         self.sampler.join().expect("sampled")
     }
 }
 
-/// How a [`FeedProxy`] treats calls.
+/// How a [`FeedProxy`] treats new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Closes each call at once.
@@ -88,7 +89,7 @@
     Up,
 }
 
-/// A proxy in front of a feed, at a fixed address: tests use it to make the feed unreachable for a while.
+/// A proxy in front of a feed. Its address stays the same while a test makes the feed unreachable.
 pub struct FeedProxy {
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
@@ -139,7 +140,7 @@
     ];
     for (mut from, mut to) in directions {
         thread::spawn(move || {
-            // When either side ends, both are closed.
+            // When either connection ends, both are closed.
             let _ = copy(&mut from, &mut to);
             let _ = (to.shutdown(Shutdown::Both), from.shutdown(Shutdown::Both));
         });
--- a/tests/support/timed_engine.rs
+++ b/tests/support/timed_engine.rs
@@ -1,6 +1,6 @@
-//! A stand-in engine with service times: it answers after the work that a request names, multiplied by a
-//! slowdown that the test sets at run time, reports its load in every answer, obeys cancellations and can
-//! crash.
+//! A stand-in engine with service times. It answers after the service time that a request names, multiplied
+//! by a slowdown that the test sets at run time, reports its load in every answer, obeys cancellations and
+//! can crash.
 
 use super::{answer, read_command};
 use std::collections::BTreeMap;
@@ -28,7 +28,8 @@
     shared: Arc<Shared>,
 }
 
-/// Service time of a statement such as `SELECT a FROM sales_17.orders WHERE ms = 250`, in milliseconds.
+/// Service time of a statement such as `SELECT a FROM sales_17.orders WHERE ms = 250`, in milliseconds; 50
+/// if the statement doesn't end with a number.
 fn service_time_ms(statement: &str) -> u64 {
     statement.rsplit(' ').next().and_then(|n| n.parse().ok()).unwrap_or(50)
 }
@@ -43,7 +44,8 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if engine.crashed.load(Ordering::SeqCst) {
-                    // Dropped without being read: the peer gets a reset or an end at once.
+                    // The stream is dropped without being read: the peer gets a reset or an end of stream at
+                    // once.
                     continue;
                 }
                 engine
@@ -63,13 +65,13 @@
         self.shared.slowdown_milli.store((factor * 1000.0) as u64, Ordering::SeqCst);
     }
 
-    /// Closes every connection and each new one, as a crashed process.
+    /// Closes every open connection and, from now on, each new one, as if the process had crashed.
     pub fn crash(&self) {
         self.shared.crashed.store(true, Ordering::SeqCst);
         self.close_connections();
     }
 
-    /// Closes every connection; new ones are accepted.
+    /// Closes every open connection; new connections are still accepted.
     pub fn close_connections(&self) {
         for stream in self.shared.connections.lock().expect("unpoisoned").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -116,8 +118,8 @@
     let _ = out.lock().expect("unpoisoned").shutdown(Shutdown::Both);
 }
 
-/// Settings of a busy site: `lane-rate` queries with a latency target of about a second, three managers,
-/// small engines.
+/// Settings of a busy site: a latency target of 1.2 s for `lane-rate` queries, three managers, and engines of
+/// 12 cores.
 pub const BUSY: &str = r#"{"kindOfService":"queries","zones":["hall-a","hall-b"],"shapes":["std"],"siblings":3,
  "profiles":[
   {"name":"lane-rate","value":1.0,"aim":1.2,"aimStretch":2.0,"deadline":6.0,"effect":"read_like","dedupScope":"all"},
