--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -327,7 +327,8 @@
         }
     }
 
-    /// Gives each serving manager a configuration that names the other one of its two feeds, and sends SIGHUP.
+    /// Gives each serving manager a configuration that names the other one of its two feeds, and sends
+    /// SIGHUP.
     fn reload(&mut self) -> io::Result<()> {
         let events = self.log.all();
         for number in 0..self.managers.len() {
--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -26,7 +26,7 @@
     (first_id..first_id + count).map(|id| rows(&raw.ask(&lookup_sql(id, 5))).len()).sum()
 }
 
-/// Replays in ten processes give the same digest, and the history of a request or an engine can be explained.
+/// Replays in ten processes give the same digest, and `explain` shows the history of a request or an engine.
 #[test]
 fn recorded_run_replays_identically_in_every_process() {
     let (first_engine, second_engine, dir) = (TimedEngine::start(), TimedEngine::start(), scratch_dir());
@@ -64,13 +64,13 @@
     let (status, text, _) = run_cli(&["replay", path, "--set", "gateways=1", "--treatment", "matched"]);
     assert!(status == 0 || text.contains("answers differ"), "{text}");
     // A case cut from the capture satisfies its rules.
-    let case = dir.join("case.case");
-    let case = case.to_str().expect("text");
+    let case_path = dir.join("case.case");
+    let case_path = case_path.to_str().expect("text");
     let (status, text, stderr) = run_cli(&[
-        "capture", "cut", path, "--around", "+0.2", "--before", "0.1", "--after", "0.1", "--out", case,
+        "capture", "cut", path, "--around", "+0.2", "--before", "0.1", "--after", "0.1", "--out", case_path,
     ]);
     assert!(status == 0 && text.contains("holds"), "{text}{stderr}");
-    assert_eq!(run_cli(&["capture", "verify", case]).0, 0);
+    assert_eq!(run_cli(&["capture", "verify", case_path]).0, 0);
     assert_eq!(
         run_cli(&["explain", path, "--request", "ffffffffffffffff"]).0,
         2,
@@ -78,8 +78,8 @@
     );
 }
 
-/// A crash loses only the events that were not yet handed over to the writer. A truncated or damaged capture
-/// replays up to the fault, which is reported.
+/// A crash loses only the events that were not yet handed over to the thread that writes the capture. A
+/// truncated or damaged capture replays up to the fault, which is reported.
 #[test]
 fn truncated_or_damaged_capture_replays_up_to_the_fault_and_reports_it() {
     let (engine, dir) = (TimedEngine::start(), scratch_dir());
@@ -158,7 +158,7 @@
     assert!(status == 0 && text.contains("recorder's settings will do"), "{stderr}");
 }
 
-/// Each stored case records a past failure, with the rules that a replay must satisfy.
+/// Each case in `captures/` records a past failure, with the rules that a replay must satisfy.
 #[test]
 fn every_stored_case_satisfies_its_rules() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("captures");
@@ -168,7 +168,7 @@
     assert_eq!(status, 0, "{text}{stderr}");
 }
 
-/// One object per line, with the fields of the event.
+/// With `--log-format json` each log line is one object with the fields of the event.
 #[test]
 fn log_lines_can_be_json() {
     let engine = TimedEngine::start();
--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -11,12 +11,12 @@
 
 const NAME: &str = "pg.fret-atlas.test";
 
-/// A port that was free a moment ago: the program needs a fixed one in its configuration.
+/// An address whose port was free just before: the program's configuration needs a fixed port.
 fn free_port() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address")
 }
 
-fn program(authority: &Authority, challenges: SocketAddr, store: Option<&std::path::Path>) -> Program {
+fn start_program(authority: &Authority, challenges: SocketAddr, store: Option<&std::path::Path>) -> Program {
     let dir = scratch_dir();
     let root = dir.join("root.pem");
     std::fs::write(&root, &authority.root).expect("written");
@@ -46,7 +46,7 @@
 fn certificate_is_renewed_before_expiry_and_sessions_continue() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(15), challenges);
-    let program = program(&authority, challenges, None);
+    let program = start_program(&authority, challenges, None);
     program.wait_line("certificate renewed");
     let mut first = secure(&program, &authority);
     wait_until(|| (authority.signed() >= 3).then_some(()));
@@ -67,19 +67,19 @@
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(60), challenges);
     let store = scratch_dir();
-    let mut first = program(&authority, challenges, Some(&store));
+    let mut first = start_program(&authority, challenges, Some(&store));
     first.wait_line("certificate renewed");
     first.terminate();
     assert_eq!(first.wait_for_exit(), Some(0));
     // The stored certificate is loaded: the next start needs no order.
-    let restarted = program(&authority, challenges, Some(&store));
+    let restarted = start_program(&authority, challenges, Some(&store));
     restarted.wait_line("certificate loaded");
     assert_eq!(ask(&mut secure(&restarted, &authority)), "IZ");
     assert_eq!((authority.signed(), authority.accounts()), (1, 1));
     drop(restarted);
     // No stored certificate, and orders are rejected: no session, but no crash either.
     authority.set_rejects_orders(true);
-    let mut without_certificate = program(&authority, challenges, None);
+    let mut without_certificate = start_program(&authority, challenges, None);
     wait_until(|| (authority.rejected_orders() >= 4).then_some(()));
     assert!(without_certificate.running());
     let mut raw = RawClient::open(without_certificate.second.expect("on"));
@@ -103,12 +103,12 @@
     let _ = std::fs::remove_dir_all(store);
 }
 
-/// The old certificate is valid for longer than its renewal is rejected.
+/// The old certificate remains valid while its renewal is rejected for a time: sessions still start.
 #[test]
 fn sessions_start_under_the_old_certificate_while_renewal_is_rejected() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(45), challenges);
-    let program = program(&authority, challenges, None);
+    let program = start_program(&authority, challenges, None);
     program.wait_line("certificate renewed");
     authority.set_rejects_orders(true);
     // Renewal is due after two thirds of the lifetime: after 30 s, with 15 s left.
@@ -118,17 +118,18 @@
     wait_until(|| (authority.signed() >= 2).then_some(()));
 }
 
-/// While the folder cannot be written, the certificate serves from memory. It is saved once the folder can be
-/// written: the next start must not order again.
+/// While the store's folder cannot be written, the program serves with the certificate in memory. The
+/// certificate is saved once the folder can be written, so that the next start needs no order.
 #[test]
 fn certificate_that_could_not_be_saved_is_saved_later() {
     let challenges = free_port();
     let authority = Authority::start(Duration::from_secs(600), challenges);
     let store = scratch_dir();
-    // Temporary files have these names; a folder in their place makes the write fail, also for root.
+    // The program writes temporary files with these names; folders in their place make the writes fail, also
+    // for root.
     let blocked = ["certificate.new", "account.new"].map(|name| store.join(name));
     blocked.iter().for_each(|path| std::fs::create_dir(path).expect("made"));
-    let program = program(&authority, challenges, Some(&store));
+    let program = start_program(&authority, challenges, Some(&store));
     program.wait_line("certificate not saved");
     assert_eq!(ask(&mut secure(&program, &authority)), "IZ");
     blocked.iter().for_each(|path| std::fs::remove_dir(path).expect("removed"));
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -8,10 +8,10 @@
 use support::resource_limits::{descriptors, DescriptorWatch};
 use support::*;
 
-/// Starts the program with a second front whose authority cannot be reached: it retries, and the challenge
-/// listener is open. The listener's port was free a moment ago: the program needs a fixed one in its
-/// configuration.
-fn program(engine: &Engine) -> (Program, SocketAddr) {
+/// Starts the program with a second front whose certificate authority cannot be reached, so that the program
+/// keeps retrying and its challenge listener stays open. Also returns the listener's address: the
+/// configuration needs a fixed port, so one is taken that was free just before.
+fn start_program(engine: &Engine) -> (Program, SocketAddr) {
     let dir = scratch_dir();
     let free_address = || TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let (challenges, unreachable) = (free_address(), free_address());
@@ -46,9 +46,9 @@
 #[test]
 fn malformed_challenge_requests_are_answered_or_closed() {
     let engine = Engine::echo();
-    let (mut program, address) = program(&engine);
+    let (mut program, challenges) = start_program(&engine);
     let not_found = |text: &str| text.starts_with("HTTP/1.1 404 Not Found\r\n") && text.ends_with("\r\n\r\n");
-    assert!(not_found(&response(address, VALID_REQUEST)));
+    assert!(not_found(&response(challenges, VALID_REQUEST)));
     for garbage in [
         &b"\r\n\r\n"[..],
         b"\x16\x03\x01garbage\0\xff\xfe\r\n\r\n",
@@ -57,22 +57,22 @@
         b"GET /.well-known/acme-challenge/../../etc/passwd HTTP/1.1\r\n\r\n",
         b"GET \xc3\x28 HTTP/1.1\r\n\r\n",
     ] {
-        assert!(not_found(&response(address, garbage)), "{garbage:?}");
+        assert!(not_found(&response(challenges, garbage)), "{garbage:?}");
     }
-    // Longer than the maximum request length: closed without an answer.
-    assert_eq!(response(address, &[b'x'; 64 * 1024]), "");
+    // A request longer than the maximum length: the connection is closed without an answer.
+    assert_eq!(response(challenges, &[b'x'; 64 * 1024]), "");
     // An incomplete request whose sender shuts down its side.
-    let mut incomplete = open(address);
+    let mut incomplete = open(challenges);
     incomplete.write_all(&VALID_REQUEST[..40]).expect("written");
     incomplete.shutdown(Shutdown::Write).expect("shut");
     assert_eq!(incomplete.read(&mut [0; 16]).expect("an end"), 0);
     // An incomplete request whose sender stays connected: closed by the timeout.
-    let (mut incomplete, started_at) = (open(address), Instant::now());
+    let (mut incomplete, started_at) = (open(challenges), Instant::now());
     incomplete.write_all(&VALID_REQUEST[..40]).expect("written");
     assert_eq!(incomplete.read(&mut [0; 16]).expect("an end"), 0);
     assert!(started_at.elapsed() < Duration::from_secs(10), "{:?}", started_at.elapsed());
     // A valid request sent byte by byte is answered.
-    let mut bytewise = open(address);
+    let mut bytewise = open(challenges);
     bytewise.set_nodelay(true).expect("set");
     VALID_REQUEST.iter().for_each(|b| bytewise.write_all(&[*b]).expect("written"));
     let mut text = String::new();
@@ -86,15 +86,15 @@
 #[test]
 fn flood_of_challenge_requests_affects_no_valid_request_or_session() {
     let engine = Engine::echo();
-    let (program, address) = program(&engine);
+    let (program, challenges) = start_program(&engine);
     let mut raw = RawClient::connect(program.platform);
     let before = descriptors(program.id());
     let watched = DescriptorWatch::start(program.id());
     let mut held = Vec::new();
     for i in 1..=300 {
-        let mut caller = open(address);
+        let mut caller = open(challenges);
         if i % 3 > 0 {
-            // The listener may already have closed it in favour of a newer connection.
+            // The listener may already have closed the connection in favour of a newer one.
             let _ = caller.write_all(&VALID_REQUEST[..40]);
         }
         if i % 3 < 2 {
@@ -102,7 +102,7 @@
         }
         if i % 30 == 0 {
             assert!(
-                response(address, VALID_REQUEST).starts_with("HTTP/1.1 404"),
+                response(challenges, VALID_REQUEST).starts_with("HTTP/1.1 404"),
                 "valid request after {i} connections"
             );
             let sql = format!("/* kind=lane-rate,req={i:016x},timeout=20000,owner=sud */ SELECT a FROM b");
@@ -110,9 +110,9 @@
         }
     }
     let peak = watched.peak();
-    // Sixteen challenge requests and the one just accepted; two connections to the authority; one to the
-    // engine.
+    // Sixteen connections with challenge requests and the one just accepted; two connections to the
+    // authority; one to the engine.
     assert!(peak <= before + 16 + 1 + 2 + 1, "peak of {peak} descriptors, {before} before");
     drop(held);
-    assert!(response(address, VALID_REQUEST).starts_with("HTTP/1.1 404"));
+    assert!(response(challenges, VALID_REQUEST).starts_with("HTTP/1.1 404"));
 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,5 +1,5 @@
-//! The cold start on sockets: calls to a list service that refuses back off, a start logs when it is ready,
-//! and its settings are checked.
+//! The cold start with a running program: calls to a list service that refuses them back off, the program
+//! logs when it is ready, and the cold start's settings are checked.
 mod support;
 
 use sprucelink_cluster_harness::lists::{DiscoveryMode, ListService};
@@ -22,7 +22,7 @@
     path.display().to_string()
 }
 
-/// Number of calls that a refusing list service gets within `span` of the first one.
+/// Number of calls that a refusing list service gets within `span` after the first call, which counts too.
 fn calls_while_refused(extra_args: &[&str], span: Duration) -> usize {
     let engine = Engine::echo();
     let program = Program::launch(&[("s-1", engine.address)], None, None, (192, 1024), SETTINGS, extra_args);
@@ -34,8 +34,8 @@
     calls().iter().filter(|t| **t - first_call < span).count()
 }
 
-/// Guards against overloading a list service that refuses calls: with the cold start, refused calls back off
-/// by gRPC's parameters (1 s, then 1.6 s); without it they are repeated every 20 to 250 ms.
+/// Guards against overloading a list service that refuses calls: with the cold start, refused calls are
+/// repeated with gRPC's backoff (1 s, then 1.6 s); without it they are repeated every 20 to 250 ms.
 #[test]
 fn refusing_list_service_is_polled_with_backoff() {
     let span = Duration::from_millis(2_500);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,6 +1,6 @@
-//! Clients that leave while their request waits, by a close, a reset or a CancelRequest, after sending more
-//! bytes than the front buffers; on both fronts and in each state in which a request can wait. Nothing is
-//! sent for them afterwards, and other clients are served.
+//! A client leaves while its request waits: by a close, a reset or a CancelRequest, after it has sent more
+//! bytes than a session may read ahead. Tested on both fronts and in each state in which a request can wait:
+//! no engine gets a further request of that client, and other clients are served.
 #[path = "support/authority.rs"]
 mod authority;
 mod support;
@@ -41,7 +41,7 @@
             Front::Second => program.second.expect("the second front is on"),
         }
     }
-    /// Bytes that a session may read ahead; its final error names this limit.
+    /// Number of bytes that a session may read ahead. The final error of a session that exceeds it names it.
     fn read_ahead_limit(self) -> usize {
         match self {
             Front::Platform => 64 << 10,
@@ -61,14 +61,15 @@
             }
         }
     }
-    /// Complete messages that exceed the read-ahead limit: requests, or messages that request nothing.
-    fn overflow(self, requests: bool) -> Vec<u8> {
+    /// Complete messages that together exceed the read-ahead limit: requests if `with_requests` is true,
+    /// otherwise messages that request nothing.
+    fn overflow(self, with_requests: bool) -> Vec<u8> {
         let size = self.read_ahead_limit() + (200 << 10);
         let mut messages = Vec::new();
         let mut id = 1_000;
         while messages.len() < size {
             id += 1;
-            match (requests, self) {
+            match (with_requests, self) {
                 (true, _) => messages.extend(self.request(id, "pipelined", 2_000)),
                 (false, Front::Platform) => messages.extend(query("")),
                 (false, Front::Second) => messages.extend(framed(b'H', b"")),
@@ -78,7 +79,7 @@
     }
 }
 
-fn program(engines: &[(&str, SocketAddr)], feed: Option<&Feed>, operator: &str) -> Program {
+fn start_program(engines: &[(&str, SocketAddr)], feed: Option<&Feed>, operator: &str) -> Program {
     let vars = [("EDGE_OPERATOR", "127.0.0.1:0")];
     Program::launch_in(&vars, None, engines, feed, Some(operator), (192, 1024), SETTINGS, &[])
 }
@@ -126,10 +127,10 @@
     });
 }
 
-/// The columns selected by the requests that the engine received, once per request: a request whose client is
-/// still connected may be retried on a slow machine.
+/// Columns selected by the requests that the engine received, once per request: on a slow machine a request
+/// whose client is still connected may be retried.
 fn selected_columns(engine: &Engine) -> Vec<String> {
-    first_commands(engine, "do").iter().map(|c| selected(c).to_owned()).collect()
+    first_commands(engine, "do").iter().map(|c| selected_column(c).to_owned()).collect()
 }
 
 /// The first command with this word for each request.
@@ -143,8 +144,8 @@
     wait_until(|| (first_commands(engine, word).len() >= count).then_some(()));
 }
 
-/// The column that a request selects.
-fn selected(command: &ReceivedCommand) -> &str {
+/// Name of the column that a request selects.
+fn selected_column(command: &ReceivedCommand) -> &str {
     command.parts[3].split(' ').nth(1).unwrap_or_default()
 }
 
@@ -153,11 +154,12 @@
 }
 
 /// Starts an engine that answers each request with the name of the column that it selects.
-fn engine() -> Engine {
-    Engine::start(|command| row(selected(command)))
+fn start_engine() -> Engine {
+    Engine::start(|command| row(selected_column(command)))
 }
 
-/// Sends more bytes than the session may read ahead, then leaves. Returns once the manager has noticed it.
+/// Sends more bytes than the session may read ahead, then leaves. Returns once the program has noticed the
+/// departure.
 fn leave(program: &Program, front: Front, departure: Departure, mut raw: RawClient) {
     let abandoned = program_metric(program, "abandoned");
     let sent = raw.stream.write_all(&front.overflow(departure != Departure::Cancel));
@@ -181,8 +183,8 @@
     wait_until(|| (program_metric(program, "abandoned") == abandoned + 1).then_some(()));
 }
 
-/// Checks that another client, whose session was open all the time, is served, and that its request is the
-/// only one that was sent after those of `before`.
+/// Checks that the client `other`, whose session was open all the time, is served, and that its request is
+/// the only one that the engine received after those that select the columns of `before`.
 fn check_only_later_request_sent(
     front: Front,
     departure: Departure,
@@ -203,9 +205,9 @@
 #[test]
 fn disconnect_while_queued_sends_nothing() {
     for_each_front_and_departure(|front, departure| {
-        let (engine, feed) = (engine(), Feed::start());
+        let (engine, feed) = (start_engine(), Feed::start());
         feed.send("{\"n\":1}");
-        let program = program(&[], Some(&feed), OPERATOR);
+        let program = start_program(&[], Some(&feed), OPERATOR);
         let (mut raw, other) = (session(&program, front), session(&program, front));
         raw.send(&front.request(1, "gone", 1));
         wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
@@ -221,17 +223,18 @@
 fn disconnect_during_dial_sends_nothing() {
     for_each_front_and_departure(|front, departure| {
         let listener = DelayedListener::listen();
-        let program = program(&[("s-1", listener.address)], None, OPERATOR);
+        let program = start_program(&[("s-1", listener.address)], None, OPERATOR);
         let (mut raw, other) = (session(&program, front), session(&program, front));
         raw.send(&front.request(1, "gone", 1));
         wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
         leave(&program, front, departure, raw);
-        let engine = listener.open(|command| row(selected(command)));
+        let engine = listener.open(|command| row(selected_column(command)));
         check_only_later_request_sent(front, departure, &engine, other, &[]);
     });
 }
 
-/// The request waits between two attempts: its first was rejected, and no other engine accepts it.
+/// The request waits between two attempts: an engine rejected the first attempt, and there is no other
+/// engine.
 #[test]
 fn disconnect_between_attempts_prevents_a_retry() {
     for_each_front_and_departure(|front, departure| {
@@ -240,7 +243,7 @@
         // The marker request is answered directly after the rejection: its answer shows that the rejection
         // was read.
         let first = Engine::start(move |command| {
-            if selected(command) == "marker" {
+            if selected_column(command) == "marker" {
                 return Reply::Hold;
             }
             wait_until(|| is_drained.load(Ordering::SeqCst).then_some(()));
@@ -252,9 +255,9 @@
             let rejection = answer(&[&command.parts[1], "overload", "-", ""]);
             Reply::Raw(rejection + &answer(&[&marker, "served", "batches=1,cpu=5", "marker\tb\tc\n"]))
         });
-        let (second, feed) = (engine(), Feed::start());
+        let (second, feed) = (start_engine(), Feed::start());
         feed.send("{\"n\":1}");
-        let program = program(&[("s-1", first.address)], Some(&feed), OPERATOR);
+        let program = start_program(&[("s-1", first.address)], Some(&feed), OPERATOR);
         let (mut raw, other) = (session(&program, front), session(&program, front));
         let mut marker = session(&program, Front::Platform);
         marker.send(&Front::Platform.request(9, "marker", 1));
@@ -276,14 +279,17 @@
     });
 }
 
-/// A client's end is noticed under TLS too, with or without a close_notify.
+/// The program also notices under TLS that a client has disconnected, with or without a close_notify.
 #[test]
 fn disconnect_under_tls_is_noticed_behind_unread_bytes() {
-    let engine =
-        Engine::start(
-            |command| if selected(command) == "gone" { Reply::Hold } else { row(selected(command)) },
-        );
-    // A port that was free a moment ago: the program needs a fixed one in its configuration.
+    let engine = Engine::start(|command| {
+        if selected_column(command) == "gone" {
+            Reply::Hold
+        } else {
+            row(selected_column(command))
+        }
+    });
+    // The port was free just before: the program's configuration needs a fixed port.
     let challenges = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let authority = Authority::start(Duration::from_secs(600), challenges);
     let root = scratch_dir().join("root.pem");
@@ -295,7 +301,7 @@
         authority.directory,
         root.display()
     );
-    let program = program(&[("s-1", engine.address)], None, &operator);
+    let program = start_program(&[("s-1", engine.address)], None, &operator);
     program.wait_line("certificate renewed");
     for (count, departure) in [(1, Departure::Close), (2, Departure::Reset)] {
         let mut tls = secure(&program, &authority);
@@ -320,8 +326,8 @@
     authority.secure(stream, NAME, &startup())
 }
 
-/// Requests that are buffered completely are answered in order, one that is cut at the limit is never read as
-/// a message, and the final error names the limit.
+/// When a session exceeds the read-ahead limit, requests that are buffered completely are answered in order,
+/// a request that is truncated at the limit is never read, and the final error names the limit.
 #[test]
 fn overrun_session_answers_complete_requests_then_ends_with_an_error() {
     for front in FRONTS {
@@ -329,11 +335,11 @@
         let is_released = Arc::clone(&release);
         let engine = Engine::start(move |command| {
             wait_until(|| is_released.load(Ordering::SeqCst).then_some(()));
-            row(selected(command))
+            row(selected_column(command))
         });
-        let program = program(&[("s-1", engine.address)], None, OPERATOR);
+        let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
         let mut raw = session(&program, front);
-        // Of different lengths, so that the limit is in the middle of a request.
+        // The requests have different lengths, so that the limit is in the middle of a request.
         let requests: Vec<Vec<u8>> =
             (0..200).map(|n| front.request(n, &format!("n{n}"), 9_000 + 37 * n as usize)).collect();
         raw.send(&requests[0]);
@@ -343,20 +349,22 @@
         wait_until_all_read(&raw);
         release.store(true, Ordering::SeqCst);
         let messages: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
-        let served = rows(&messages);
-        assert_eq!(served, (0..served.len()).map(|n| format!("n{n}|b|c")).collect::<Vec<_>>(), "{front:?}");
+        let served_rows = rows(&messages);
+        let served = served_rows.len();
+        assert_eq!(served_rows, (0..served).map(|n| format!("n{n}|b|c")).collect::<Vec<_>>(), "{front:?}");
         let bytes = |n: usize| requests[1..=n].iter().map(Vec::len).sum::<usize>();
-        assert!(bytes(served.len() - 1) <= front.read_ahead_limit(), "{front:?}: {} served", served.len());
-        assert!(bytes(served.len()) > front.read_ahead_limit(), "{front:?}: {} served", served.len());
+        assert!(bytes(served - 1) <= front.read_ahead_limit(), "{front:?}: {served} served");
+        assert!(bytes(served) > front.read_ahead_limit(), "{front:?}: {served} served");
         let [code, message, ..] = error_fields(&messages);
         assert_eq!(code, "54000", "{front:?}: {message}");
         assert!(message.contains(&front.read_ahead_limit().to_string()), "{message}");
-        assert_eq!(selected_columns(&engine).len(), served.len(), "no other request was sent");
+        assert_eq!(selected_columns(&engine).len(), served, "no other request was sent");
     }
 }
 
-/// The total read-ahead of all sessions is limited, here to a sixteenth of the memory. A session that exceeds
-/// it gets an error that says so, and the buffers of a session that has ended become available again.
+/// The total read-ahead of all sessions is limited, in this test to a sixteenth of the memory. A session that
+/// exceeds the total gets another error code (53200) than one that exceeds its own limit (54000), and the
+/// buffers of a session that has ended become available again.
 #[test]
 fn read_ahead_of_all_sessions_is_bounded() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -367,7 +375,7 @@
     let start_session = |outstanding: u64| {
         let mut raw = session(&program, Front::Second);
         raw.send(&Front::Second.request(1, "gone", 1));
-        // Whether the request has reached the engine does not matter.
+        // It does not matter whether the request has reached the engine.
         wait_until(|| (program_metric(&program, "outstanding") == outstanding).then_some(()));
         raw.send(&Front::Second.overflow(false));
         wait_until_all_read(&raw);
@@ -392,16 +400,19 @@
     line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") << 10
 }
 
-/// Clients that never stop writing after an open request: their sessions buffer no more than the limit, other
-/// clients are served meanwhile, and finally their requests and sessions are ended.
+/// Clients continue to write while their request is open: their sessions buffer no more than the limit, other
+/// clients are served meanwhile, and finally the requests are cancelled and the sessions ended.
 #[test]
 fn flooding_sessions_use_bounded_memory_and_are_ended() {
     const FLOOD_BYTES: usize = 40 << 20;
-    let engine =
-        Engine::start(
-            |command| if selected(command) == "gone" { Reply::Hold } else { row(selected(command)) },
-        );
-    let program = program(&[("s-1", engine.address)], None, OPERATOR);
+    let engine = Engine::start(|command| {
+        if selected_column(command) == "gone" {
+            Reply::Hold
+        } else {
+            row(selected_column(command))
+        }
+    });
+    let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     let mut other = session(&program, Front::Platform);
     let before = resident_bytes(&program);
     let (done, peak) = (AtomicBool::new(false), std::sync::atomic::AtomicUsize::new(0));
@@ -447,11 +458,11 @@
     assert!(growth < 24 << 20, "resident memory grew by {growth} bytes");
 }
 
-/// A CancelRequest that arrives between two requests has no effect: the next one is served.
+/// A CancelRequest that arrives between two requests has no effect: the next request is served.
 #[test]
 fn cancel_between_requests_does_not_cancel_the_next() {
-    let engine = engine();
-    let program = program(&[("s-1", engine.address)], None, OPERATOR);
+    let engine = start_engine();
+    let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     for front in FRONTS {
         let mut raw = session(&program, front);
         for n in 0..20 {
@@ -475,7 +486,7 @@
 fn cancel_during_blocked_write_ends_the_batch() {
     let page = || "x\ty\tz\n".repeat(950);
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(|_| page()).collect()));
-    let program = program(&[("s-1", engine.address)], None, OPERATOR);
+    let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     let mut raw = session(&program, Front::Second);
     let sql = "/* kind=lane-rate,timeout=20000,ms=5 */ SELECT a FROM sales_17.orders";
     let batch = 400;
@@ -489,23 +500,24 @@
     let messages = raw.until_ready();
     let [code, message, ..] = error_fields(&messages);
     assert_eq!((code.as_str(), message.as_str()), ("57014", "canceled at the client's request"));
-    let served = message_types(&messages).matches('C').count();
-    assert!(served < batch, "{served} served");
+    let served_count = message_types(&messages).matches('C').count();
+    assert!(served_count < batch, "{served_count} served");
     let started = selected_columns(&engine).len();
     assert!(
-        started <= served + 1,
-        "{started} requests started and {served} served; at most one may be cancelled"
+        started <= served_count + 1,
+        "{started} requests started and {served_count} served; at most one may be cancelled"
     );
     assert_eq!(message_types(&raw.ask("")), "IZ", "the session continues");
 }
 
-/// A client's end arrives while its session is blocked writing an answer. Once the client has read that
-/// answer, no further request of its batch is started, however many messages precede the end.
+/// A client shuts down its connection while its session is blocked writing an answer. Once the client has
+/// read that answer, no further request of its batch is started, however many messages precede the end of
+/// stream.
 #[test]
 fn disconnect_during_blocked_write_starts_no_further_request() {
     let page = || "x\ty\tz\n".repeat(950);
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(|_| page()).collect()));
-    let program = program(&[("s-1", engine.address)], None, OPERATOR);
+    let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     let mut raw = session(&program, Front::Second);
     let sql = "/* kind=lane-rate,timeout=30000,ms=5 */ SELECT a FROM sales_17.orders";
     raw.send(&parse("", sql));
@@ -542,7 +554,7 @@
 fn cancel_is_accepted_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
     let operator = r#"{"listen":"127.0.0.1:0","max_sessions":1,"default_tenant":"sud"}"#;
-    let program = program(&[("s-1", engine.address)], None, operator);
+    let program = start_program(&[("s-1", engine.address)], None, operator);
     let to = Front::Second.address(&program);
     let mut raw = session(&program, Front::Second);
     raw.send(&Front::Second.request(1, "gone", 1));
@@ -560,11 +572,11 @@
     assert!(Command::new("kill").args([name, &id]).status().expect("kill").success());
 }
 
-/// Each request is cancelled although its CancelRequest arrived before the program could read either.
+/// A request and its CancelRequest both arrive while the program is suspended: each request is cancelled.
 #[test]
 fn cancel_directly_after_its_request_is_not_lost() {
     let engine = Engine::start(|_| Reply::Hold);
-    let program = program(&[("s-1", engine.address)], None, OPERATOR);
+    let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     for front in FRONTS {
         let mut clients: Vec<(RawClient, RawClient)> =
             (0..16).map(|_| (session(&program, front), RawClient::open(front.address(&program)))).collect();
@@ -581,12 +593,12 @@
     }
 }
 
-/// Requests of a client that has left are not submitted: its end directly follows them, and everything
-/// arrived while the program was suspended.
+/// Requests of a client that has left are not submitted. The end of stream directly follows the requests, and
+/// both arrive while the program is suspended.
 #[test]
 fn pipelined_requests_of_a_departed_client_are_not_submitted() {
-    let engine = engine();
-    let program = program(&[("s-1", engine.address)], None, OPERATOR);
+    let engine = start_engine();
+    let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     for front in FRONTS {
         let mut departed: Vec<RawClient> = (0..8).map(|_| session(&program, front)).collect();
         let mut other = session(&program, front);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use support::admin_client::*;
-use support::resource_limits::{descriptors, DescriptorWatch, DiscoveryMode, FeedProxy};
+use support::resource_limits::{descriptors, DescriptorWatch, FeedProxy, FeedProxyMode};
 use support::*;
 
 fn sql(req: u64, text: &str) -> String {
@@ -17,8 +17,8 @@
     )
 }
 
-/// Opens `count` connections each that send nothing, that send a part of a start-up packet, that open a
-/// session and stay idle, and that send a part of a message, in turns.
+/// Opens `count` connections of each of four kinds, in turn: they send nothing, send a part of a start-up
+/// packet, open a session and stay idle, or open a session and send a part of a message.
 fn flood(to: SocketAddr, count: usize) -> Vec<RawClient> {
     let message = query(&sql(1 << 40, "half"));
     let inputs = [vec![], startup()[..9].to_vec(), startup(), [startup(), message[..20].to_vec()].concat()];
@@ -42,8 +42,8 @@
     );
 }
 
-/// Opens sessions, each with a request that its engine does not answer, until one is rejected. Returns the
-/// sessions with their request ids, and the fields of the rejection.
+/// Opens at most `max_sessions` sessions, each with a request that its engine does not answer, until one is
+/// rejected. Returns the sessions with their request ids, and the error fields of the rejection.
 fn open_busy_sessions(to: SocketAddr, max_sessions: usize) -> (Vec<(u64, RawClient)>, [String; 4]) {
     let mut busy = Vec::new();
     for id in (0..max_sessions as u64).map(|i| 1_000 + i) {
@@ -62,8 +62,9 @@
     panic!("none of {max_sessions} sessions was rejected");
 }
 
-/// Runs the scenario with a limit that is both configured and set on the process, under which at least
-/// `min_sessions` busy sessions must fit.
+/// Floods the program with idle clients and checks that the reserved descriptors stay available. `limit` is
+/// both the configured number of descriptors and the limit of the process; at least `min_sessions` sessions
+/// with an open request must fit.
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
 fn check_reserved_descriptors(limit: usize, min_sessions: usize) {
     let has_disconnected = Arc::new(AtomicBool::new(false));
@@ -75,7 +76,7 @@
     });
     let second_engine = Engine::echo();
     let feed = Feed::start();
-    let feed_proxy = FeedProxy::start(feed.address, DiscoveryMode::Down);
+    let feed_proxy = FeedProxy::start(feed.address, FeedProxyMode::Down);
     let config =
         resource_limits::config(&[("s-1", first_engine.address)], Some(feed_proxy.address), limit, SETTINGS);
     let mut program = resource_limits::start(&config, Some(limit), &[]);
@@ -116,8 +117,8 @@
     // The session is idle now, and may already have been evicted for a new connection.
     drop(cancelled);
 
-    // The feed is reachable again; it adds an engine and drains the other one.
-    feed_proxy.set(DiscoveryMode::Up);
+    // The feed is reachable again. It adds an engine and drains the first one.
+    feed_proxy.set(FeedProxyMode::Up);
     feed.send(list(1, true, &[("s-1", first_engine.address, "ready")]));
     let engines = [("s-2", second_engine.address, "ready"), ("s-1", first_engine.address, "draining")];
     feed.send(list(2, false, &engines));
@@ -125,7 +126,7 @@
     program.wait_line("engine_id=s-1 phase=Draining");
     let mut newcomer = RawClient::connect(to);
     check_served(&mut newcomer, 4, "b");
-    // Requests that the first engine held may be retried there: they are not counted.
+    // Requests that the first engine held may be retried at the second one: they are not counted.
     let served = second_engine.received("do");
     assert_eq!(served.iter().filter(|c| c.parts[3].contains("SELECT b")).count(), 1);
 
@@ -154,7 +155,7 @@
     check_reserved_descriptors(512, 170);
 }
 
-/// The program stays within its configured limit also when the process may open far more descriptors.
+/// The program stays within its configured limit even if the process may open far more descriptors.
 #[test]
 fn descriptors_stay_within_the_configured_limit() {
     let engine = Engine::echo();
@@ -205,7 +206,7 @@
     assert!((1..=15).contains(&lines), "{lines} lines");
 }
 
-/// Clients that leave before they are accepted, or directly after, have no effect.
+/// Clients that disconnect before or directly after they are accepted affect no other client.
 #[test]
 fn immediately_reset_connections_affect_no_session() {
     let engine = Engine::echo();
@@ -228,8 +229,8 @@
     check_served(&mut RawClient::connect(program.platform), 9_999, "a");
 }
 
-/// CancelRequests are accepted also when all slots are occupied. A silent connection then gets an error
-/// before it is closed.
+/// CancelRequests are accepted even when all session slots are occupied. A silent connection then gets an
+/// error before it is closed.
 #[test]
 fn cancel_is_accepted_and_rejection_delivered_when_all_slots_are_occupied() {
     let engine = Engine::start(|_| Reply::Hold);
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -101,8 +101,8 @@
     assert_eq!((old.received("do").len(), new.received("do").len()), (0, 1));
 }
 
-/// A batch ends at each message boundary in turn: each submitted request is answered once, and the others are
-/// never sent.
+/// A batch is truncated at each message boundary in turn: each request that was submitted is answered once,
+/// and no other request is sent.
 #[test]
 fn batch_truncated_at_any_message_boundary_is_answered() {
     let engine = Engine::echo();
@@ -162,10 +162,10 @@
     assert_eq!(engine.received("do").len(), 1, "fetching further rows is not another request");
 }
 
-/// A request whose engine disconnects within its answer may be retried, since no row was sent to the client
-/// yet.
+/// A request whose engine disconnects in the middle of its answer may be retried, since no row has been sent
+/// to the client yet.
 #[test]
-fn engine_lost_within_its_answer_causes_a_retry() {
+fn engine_that_disconnects_within_its_answer_causes_a_retry() {
     let broken = Engine::start(|_| Reply::DisconnectMidAnswer("half\ta\tb\n".into()));
     let program = start(&[&broken]);
     let mut raw = RawClient::connect(second_front(&program));
@@ -184,7 +184,7 @@
     assert!(detail.starts_with("retry_after_ms=") && hint.starts_with("Come back in "), "{detail} {hint}");
 }
 
-/// The engine disconnects within its first answer only: the client gets one complete answer.
+/// The engine disconnects in the middle of its first answer only: the client gets one complete answer.
 #[test]
 fn result_with_a_lost_page_is_fetched_by_a_retry() {
     use std::sync::atomic::{AtomicBool, Ordering};
@@ -358,11 +358,11 @@
             raw.send(&startup());
         }
         for tag in bytes().into_iter().take(12) {
-            // Every second input is framed as a message of a known type.
+            // About half of the inputs are framed as messages of a known type; the others are sent unframed.
             let body = bytes();
             let known_type = b"QPBDECHSXFdcfp"[usize::from(tag) % 14];
-            let message = if tag % 2 == 0 { framed(known_type, &body) } else { body };
-            if std::io::Write::write_all(&mut raw.stream, &message).is_err() {
+            let input = if tag % 2 == 0 { framed(known_type, &body) } else { body };
+            if std::io::Write::write_all(&mut raw.stream, &input).is_err() {
                 break;
             }
         }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are caused by two rare events together, each reproduced by a minimal run.
+//! Failures that need two rare events at once, each reproduced by a minimal run.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// An attempt may wait for its connection to be established, or for a slow peer. The engine must get the time
-/// that the client has left when the attempt is sent, not when its engine was chosen.
+/// An attempt may wait for its connection to be established, or for an engine that reads slowly. The engine
+/// must get the time that the client has left when the attempt is sent, not when the engine was chosen.
 #[test]
 fn deadline_sent_to_an_engine_is_the_time_left_when_its_connection_is_established() {
     let listener = DelayedListener::listen();
@@ -52,7 +52,7 @@
     let second_sent = Instant::now();
     std::thread::sleep(Duration::from_millis(800));
     client.send(&ask("00000000000000a3"));
-    // The first request takes long and may be sent twice.
+    // The first request takes long and may be retried, so the second one is found by its id.
     let is_second = |command: &ReceivedCommand| command.parts[1] == "00000000000000a2";
     let second = wait_until(|| engine.received("do").into_iter().find(is_second));
     let sent_deadline =
@@ -110,7 +110,7 @@
     kill(child);
 }
 
-/// Requests are answered also while the log's reader does not read and the pipe to it is full.
+/// Requests are answered even while the log's reader does not read and the pipe to the reader is full.
 #[test]
 fn log_whose_reader_is_blocked_delays_no_request() {
     // The test keeps the read end open and reads nothing.
@@ -150,8 +150,8 @@
     }
 }
 
-/// A read or write may transfer fewer bytes than possible. The rest is available at once, so that no
-/// readiness event follows that would wake a task waiting for one.
+/// A read or write may transfer fewer bytes than possible. The rest can be transferred at once, but no
+/// further readiness event announces it: a task that waited for one would never wake.
 #[test]
 fn short_reads_and_writes_delay_no_request() {
     let row = format!("{}\tb\tc\n", "x".repeat(5_900));
@@ -209,12 +209,12 @@
     assert!(reported.is_empty(), "{reported:?}");
 }
 
-/// The reading of the monotonic clock `millis` from now, in milliseconds.
+/// Time on the monotonic clock `millis` milliseconds from now, in milliseconds.
 fn monotonic_ms_in(millis: i64) -> i64 {
     sprucelink_fault_soak::clock::monotonic_ms() + millis
 }
 
-/// A temporary lack of descriptors for the listener does not end the start.
+/// If no socket can be created for a time, for example for lack of descriptors, the start waits and succeeds.
 #[test]
 fn start_waits_until_sockets_can_be_created() {
     let engine = Engine::echo();
@@ -226,8 +226,8 @@
     assert_eq!(message_types(&answer), "TDCZ");
 }
 
-/// SIGHUP arrives while the configuration cannot be opened. No second signal follows, and the old feed will
-/// close.
+/// SIGHUP arrives while the configuration file cannot be opened: the program must retry, since no second
+/// signal follows and the platform closes the old feed.
 #[test]
 fn reload_is_retried_when_the_configuration_cannot_be_read() {
     let engine = Engine::echo();
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -1,5 +1,5 @@
-//! The control feed's client against feeds whose responses are split at any byte, chunked or not, truncated,
-//! silent, malformed or endless.
+//! The program's client of the control feed, tested with responses that are split at any byte, chunked or
+//! not, truncated, silent, malformed or endless.
 mod support;
 
 use quickcheck::{Arbitrary, Gen};
@@ -21,7 +21,7 @@
     Script { pieces: vec![text.as_bytes().to_vec()], closes: true }
 }
 
-/// A feed that answers each call with the next script, for which it waits.
+/// A feed that answers each call with the next script. It waits for a script if there is none.
 struct ScriptedFeed {
     address: SocketAddr,
     scripts: Sender<Script>,
@@ -46,7 +46,7 @@
                     thread::yield_now();
                     stream.write_all(piece)
                 });
-                // The caller may have disconnected: the test checks its reaction.
+                // The program may have disconnected: the test checks the program's reaction.
                 drop(written);
                 let _ = head_sender.send(head);
                 if script.closes {
@@ -63,7 +63,7 @@
         self.scripts.send(script).expect("the feed runs");
     }
 
-    /// The Last-Event-ID of the next call, whose other headers are checked.
+    /// Checks the request line and headers of the next call and returns its Last-Event-ID.
     fn next_call(&self) -> u64 {
         let head = self.heads.recv_timeout(WAIT_TIMEOUT).expect("a call");
         assert_eq!(head[0], "GET /v1/events HTTP/1.1");
@@ -95,7 +95,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Splits a text at random places from a fixed seed.
+/// Splits a text into parts of 1 to 40 bytes, with lengths drawn from `gen`.
 fn split(gen: &mut Gen, text: &str) -> Vec<String> {
     let (mut parts, mut rest) = (Vec::new(), text);
     while !rest.is_empty() {
@@ -116,7 +116,7 @@
         let text = format!(": hello\n\n{}{}{}", event(n - 1), event(n), &event(n + 1)[..60]);
         let response = if n % 2 == 0 {
             let chunks: String = split(&mut gen, &text).iter().map(|part| chunk(part)).collect();
-            // Some of the responses end with the last chunk, others are truncated.
+            // Half of the chunked responses end with the last chunk, the others are truncated.
             format!("{CHUNKED}{chunks}{}", if n % 4 == 0 { "0\r\n\r\n" } else { "" })
         } else {
             format!("{PLAIN}{text}")
@@ -133,7 +133,7 @@
     assert!((2..22).all(|n| count_lines(n) == 1), "repeated events are ignored");
 }
 
-/// Whatever a feed answers, the next call requests the events after the last one that was read, and the
+/// After any invalid response the next call requests the events after the last one that was read, and the
 /// reason is logged.
 #[test]
 fn feed_with_an_invalid_response_is_polled_again() {
--- a/tests/fleet_history.rs
+++ b/tests/fleet_history.rs
@@ -6,9 +6,9 @@
 use sprucelink_history_checker::event::{Event, ExitCause};
 use sprucelink_history_checker::invariants::budget;
 
-/// Managers restarted by the harness and an engine drained by the list are not planned outages of the fleet, and
-/// violate no disruption budget, however small. Commands name their manager, and an engine that is used
-/// throughout is never unavailable.
+/// Managers restarted by the harness and an engine drained by the list are not planned outages of the fleet,
+/// and violate no disruption budget, however small. Commands in the history name their manager, and an engine
+/// that is used throughout is never unavailable.
 #[test]
 fn outages_caused_by_the_harness_are_not_planned_outages() {
     let text = "{ managers: 3, seconds: 7, load: { rate: 150, heavy: 0 }, engines: { count: 3, light_ms: 5 },
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -1,6 +1,6 @@
-//! The cluster harness with processes of the program: managers started together against counting stand-ins,
-//! and the difficult cases of a cold start. Few processes are used here; docs/measurements/cold-start.md has
-//! 50 to 200.
+//! The cluster harness with processes of the program: managers started together against stand-ins that count
+//! calls and dials, and the difficult cases of a cold start. These tests use few processes;
+//! docs/measurements/cold-start.md has runs with 50 to 200.
 use sprucelink_cluster_harness::engines::CountingEngine;
 use sprucelink_cluster_harness::lists::ListService;
 use sprucelink_cluster_harness::procs::{self, Fleet};
@@ -76,9 +76,9 @@
     outcome
 }
 
-/// Guards against overloading the list service when a fleet starts at once. With a wide window, which
-/// installations may set whose engines reject work while they drain, full jitter spreads the first calls over
-/// seconds. Without the cold start each manager calls as soon as it is up.
+/// Guards against overloading the list service when a fleet starts at once. Full jitter spreads the first
+/// calls over seconds if the window is wide, which installations may set if their engines reject work while
+/// they drain. Without the cold start each manager calls as soon as it is up.
 #[test]
 fn first_calls_of_managers_started_together_are_spread() {
     let wide =
@@ -131,7 +131,7 @@
 }
 
 /// Half of the listed engines are cold when the managers come up, and the other half don't exist: every
-/// request has an outcome, and no cold engine is overloaded.
+/// request has exactly one outcome, and no cold engine is overloaded.
 #[test]
 fn start_with_half_of_the_engines_cold_and_half_missing_serves_and_overloads_none() {
     let scenario = "{ managers: 4, seconds: 6, load: { rate: 120 },
@@ -201,8 +201,8 @@
 }
 
 /// Guards against a list that is older than the current one, and a list that names an engine both as draining
-/// and as ready: with the cold start's check the drain applies and the older list restores nothing. Without
-/// it requests continue to be sent to the draining engine.
+/// and as ready. With the cold start's check the drain applies and the older list restores no engine. Without
+/// the check requests continue to be sent to the draining engine.
 #[test]
 fn older_or_contradictory_list_restores_no_drained_engine() {
     let scenario = "{ managers: 4, seconds: 10, drain_grace_ms: 2500, load: { rate: 150 }, engines: { count: 3 },
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,11 +1,11 @@
-//! The managers' view of the fleet: several processes of the program, with faults between them. The
-//! membership protocol runs five times as fast as by default. Cases that are better simulated in virtual time
-//! are in `crates/membership/tests/model.rs`; docs/measurements/membership.md has measurements with 10 to
-//! 1,000 managers.
+//! The managers' view of the fleet: several processes of the program, with network faults between them. The
+//! membership protocol runs five times as fast as by default. `crates/membership/tests/model.rs` simulates
+//! further cases in virtual time; docs/measurements/membership.md has measurements with 10 to 1,000 managers.
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
 use sprucelink_cluster_harness::scenario::Scenario;
 
-/// A period of 200 ms: a crash is detected within some seconds, and a loaded machine still answers in time.
+/// Membership settings with a period of 200 ms: a crash is detected within some seconds, and processes on a
+/// loaded machine still answer in time.
 const FAST: &str = "protocol: { period_ms: 200, timeout_ms: 80, gossip_ms: 50, rejoin_ms: 500 }";
 
 fn play(name: &str, scenario: &str) -> Outcome {
@@ -26,7 +26,7 @@
     outcome
 }
 
-/// Number of lines in all logs that contain both texts.
+/// Number of lines in the logs of all managers that contain both texts.
 fn count_lines(outcome: &Outcome, first: &str, second: &str) -> usize {
     outcome.logs.iter().flat_map(|l| l.lines()).filter(|l| l.contains(first) && l.contains(second)).count()
 }
@@ -55,8 +55,8 @@
     );
 }
 
-/// A partition into two thirds and one third: two views, each correct for its own side, and one view
-/// afterwards.
+/// A partition divides the fleet into two thirds and one third: there are two views, each correct for its own
+/// side, and one view after the partition.
 #[test]
 fn views_differ_in_a_partition_and_converge_afterwards() {
     let partition = |p: bool| {
@@ -81,7 +81,7 @@
 }
 
 /// A manager is stopped (SIGSTOP) for longer than the suspicion timeout: it is declared dead, resumes and
-/// refutes. It must not declare others dead because of its own pause.
+/// refutes its death. It must not declare other managers dead because of its own pause.
 #[test]
 fn stopped_manager_resumes_and_refutes() {
     let outcome = play(
@@ -105,7 +105,7 @@
     );
 }
 
-/// One in ten datagrams is lost, some are delayed and some corrupted.
+/// One in ten datagrams is lost, one in twenty is corrupted, and all are delayed.
 #[test]
 fn no_manager_is_declared_dead_with_loss_delay_and_corruption() {
     let outcome = play(
@@ -154,8 +154,8 @@
     assert!(outcome.agreed(6.0, 14.5).is_some(), "the view includes it after its restart");
 }
 
-/// All datagrams in one direction between two managers are lost: neither can probe the other, and other
-/// managers probe on their behalf.
+/// All datagrams in one direction between two managers are lost: neither can probe the other directly, and
+/// other managers probe on their behalf.
 #[test]
 fn one_way_loss_between_two_managers_is_compensated_by_indirect_probes() {
     let outcome = play(
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -18,7 +18,7 @@
     Scenario::parse(&text).expect("a scenario")
 }
 
-/// Steps that start or end a partition between two groups, in both directions.
+/// Steps at time `at` (seconds) that start or end a partition between two groups, in both directions.
 fn partition(at: f64, first: &str, second: &str, is_partitioned: bool) -> String {
     let direction = |from: &str, to: &str| {
         format!("{{ at: {at}, do: {{ fault: {{ from: '{from}', to: '{to}', rule: {{ partition: {is_partitioned} }} }} }} }},")
@@ -52,7 +52,7 @@
         .count()
 }
 
-/// Without faults requests stay in their zone; with failover off two in three cross zones.
+/// Without faults requests stay in their zone; with failover off two in three are sent to another zone.
 #[test]
 fn requests_stay_in_their_zone_while_nothing_fails() {
     let calm = scenario(FAILOVER_ON, 6, "");
@@ -151,8 +151,8 @@
     assert!(outcome.report.crossing < 0.1, "{} crossed", outcome.report.crossing);
 }
 
-/// A zone becomes unreachable and reachable again every second: each manager's verdict on it changes at
-/// growing intervals, not each time.
+/// A zone becomes unreachable and reachable again in turn, every second: each manager changes the failover
+/// state of the zone at growing intervals, not each time.
 ///
 /// The number of concurrent attempts is not checked here: bytes that a partition held back in a connection
 /// arrive when it heals, a `do` followed by its `undo`, so that an engine briefly has an attempt that was
@@ -185,8 +185,8 @@
     );
 }
 
-/// One manager cannot reach its own zone while the others can: with a view of the fleet no manager ejects the
-/// zone. That manager still sends to other zones, since its own zone's engines don't answer it.
+/// One manager cannot reach its own zone while the other managers can: with a view of the fleet no manager
+/// ejects the zone. That manager still sends to other zones, since the engines of its own zone don't answer.
 #[test]
 fn zone_unreachable_for_one_manager_only_is_not_ejected() {
     let text = format!(
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -4,7 +4,8 @@
 
 use support::{golden, scratch_dir};
 
-/// Every subcommand with its required arguments. `{...}` are placeholders of paths, see [`CommandLines`].
+/// Every subcommand with its required arguments. `{...}` are placeholders for paths, see
+/// [`CommandLines::fill`].
 const COMMANDS: [(&str, &[&str]); 11] = [
     // A missing configuration ends `serve` after the command line is parsed and before it serves.
     ("serve", &["--config", "{none}"]),
@@ -20,7 +21,7 @@
     ("help", &[]),
 ];
 
-/// Every option with a valid value.
+/// Every option, with a valid value if it takes one, and an unknown option.
 const OPTIONS: [(&str, Option<&str>); 25] = [
     ("--config", Some("{config}")),
     ("--listen", Some("127.0.0.1:0")),
@@ -126,7 +127,7 @@
         (status, out, stderr)
     }
 
-    /// The first line of an error output, without the path of the temporary folder.
+    /// The first line of the standard error output, without the path of the temporary folder.
     fn reason(&self, stderr: &str) -> String {
         let first = stderr.lines().next().unwrap_or_default();
         first.replace(&format!("{}/", self.dir.to_str().expect("text")), "")
@@ -148,12 +149,12 @@
         let words: Vec<&str> = command.split(' ').chain(required.iter().copied()).collect();
         lines.push_str(&format!("{command}: {}\n", command_lines.run(&words, &[]).0));
         for (option, value) in OPTIONS {
-            // Before the required arguments: the last value of a repeated option counts, and `serve` must not
-            // serve.
+            // The option precedes the required arguments: the last value of a repeated option counts, so that
+            // `serve` still gets the missing configuration and does not serve.
             let mut args: Vec<&str> = command.split(' ').chain([option]).chain(value).collect();
             args.extend(*required);
             let (status, _, stderr) = command_lines.run(&args, &[]);
-            // Only the first line: the usage that follows an error names every option.
+            // Only the first line is searched: the usage that follows an error names every option.
             let named = stderr.lines().next().unwrap_or_default().contains(&format!("{option}'"));
             lines.push_str(&format!("{command} {option}: {status}{}\n", if named { " refused" } else { "" }));
         }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,6 +1,6 @@
 //! Golden files of captures: captures of an earlier version are replayed, listed, verified and explained with
-//! the same answers. The JSON output, which programs read, is compared, with paths, builds and durations
-//! masked; texts for people may change.
+//! unchanged answers. The JSON output, which programs read, is compared, without paths, builds and durations;
+//! texts for people may change.
 mod support;
 
 use serde_json::{json, Value};
@@ -52,7 +52,7 @@
     lines.iter().map(Value::to_string).collect()
 }
 
-/// FNV-1a hash of lines, for answers that are too long to store.
+/// 64-bit FNV-1a hash of lines, for answers that are too long to store.
 fn digest(lines: &[String]) -> u64 {
     let bytes = lines.iter().flat_map(|line| line.bytes().chain([b'\n']));
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
--- a/tests/golden_settings.rs
+++ b/tests/golden_settings.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use support::{golden, scratch_dir};
 
-/// Settings files: name of the golden document, and the option that reads it.
+/// Name of the golden document of each settings file, and the option that reads such a file.
 const FILES: [(&str, &str); 5] = [
     ("capture", "--recorder"),
     ("cold-start", "--cold-start"),
@@ -16,7 +16,7 @@
     ("second-front", "--operator"),
 ];
 
-/// The golden document of a settings file, with its paths replaced by existing ones.
+/// Reads the golden document of a settings file and replaces the paths in it by that of an existing folder.
 fn document(name: &str, dir: &Path) -> Value {
     let text = std::fs::read_to_string(golden::path(&format!("settings/{name}.json"))).expect("a document");
     let dir = dir.to_str().expect("text");
@@ -33,7 +33,7 @@
     Index(usize),
 }
 
-/// A path in the notation of error messages.
+/// Formats a path as error messages do, such as `acme.names[0]`.
 fn path_text(path: &[Step]) -> String {
     let mut text = String::new();
     for step in path {
@@ -68,8 +68,9 @@
     })
 }
 
-/// Copies of a document with one value changed in each way: another type, null, numbers inside and outside of
-/// ranges, key absent and misspelt.
+/// Copies of a document in each of which the value at `path` is changed in another way: another type, null,
+/// numbers inside and outside of the permitted range, key absent or misspelt. Each has the name of its
+/// change.
 fn changes(document: &Value, path: &[Step]) -> Vec<(&'static str, Value)> {
     let mut changed = Vec::new();
     let mut add = |change, value: Value| {
@@ -102,7 +103,8 @@
     changed
 }
 
-/// Exit statuses of `check` for each change of each value of a document, one line per value.
+/// Exit statuses of `check` for each change of each value of a document, one line per value. `args` makes the
+/// command line for a file.
 fn statuses(
     dir: &Path,
     name: &str,
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -1,6 +1,6 @@
 //! Golden files of the wire protocols: conversations with clients and engines, byte for byte, and calls to
-//! the operators' address. Only random values are masked: process ids and secrets, ids and keys that the
-//! program generates, and times.
+//! the operators' address. Only values that differ between runs are masked: process ids and secrets, ids and
+//! keys that the program generates, times, and values that depend on the load.
 mod support;
 
 use std::net::SocketAddr;
@@ -20,11 +20,12 @@
     masked
 }
 
-/// Record of a conversation, one line per message.
+/// Record of a conversation with clients and an engine, one line per message.
 #[derive(Default)]
 struct Transcript {
     text: String,
-    engine_received: usize,
+    /// Number of commands that the engine received and that are already recorded.
+    recorded_commands: usize,
 }
 
 impl Transcript {
@@ -72,9 +73,10 @@
 
     /// Records the commands that the engine received since the last call.
     fn engine_commands(&mut self, engine: &Engine) {
-        for command in engine.all_received().into_iter().skip(self.engine_received) {
-            self.engine_received += 1;
-            // Masked: waits, which shrink, and priorities and grants, which depend on the load.
+        for command in engine.all_received().into_iter().skip(self.recorded_commands) {
+            self.recorded_commands += 1;
+            // Masks `wait`, the time left, which depends on the time of sending, and `nice` (priority) and
+            // `mb` (memory grant), which depend on the load.
             let mask = |part: &String| {
                 let masked =
                     ["wait=", "nice=", "mb="].iter().fold(part.clone(), |p, name| mask_number(&p, name));
@@ -92,7 +94,7 @@
 }
 
 /// A stand-in engine whose answer depends on the last digit of the request id.
-fn engine() -> Engine {
+fn start_engine() -> Engine {
     Engine::start(|command| match command.parts[1].as_bytes().last() {
         Some(b'c') => Reply::Hold,
         Some(b'2') => {
@@ -112,8 +114,9 @@
     [&(rest.len() as u32 + 8).to_be_bytes()[..], &code.to_be_bytes(), rest].concat()
 }
 
-/// Opens connections with requests for encryption, several protocol versions and options, and a CancelRequest
-/// for no session; returns the client of the last one.
+/// Opens connections with requests for encryption, with several protocol versions and options, and with a
+/// CancelRequest that matches no session. Returns the client of the last connection, whose session has
+/// started.
 fn openings(transcript: &mut Transcript, address: SocketAddr) -> RawClient {
     for code in [80_877_104, 80_877_103] {
         let mut client = open(transcript, address, &opening(code, b""));
@@ -150,9 +153,9 @@
 }
 
 #[expect(clippy::too_many_lines, reason = "one scenario, step after step")]
-/// A conversation on the platform's front.
+/// Holds a conversation on the platform's front and returns its record.
 fn platform_conversation() -> Transcript {
-    let engine = engine();
+    let engine = start_engine();
     let program = Program::start(&[("s-1", engine.address)], None, None);
     let mut transcript = Transcript::default();
     let t = &mut transcript;
@@ -323,7 +326,7 @@
 /// Calls to the operators' address: status and body.
 #[test]
 fn admin_calls_are_answered_as_before() {
-    let engine = engine();
+    let engine = start_engine();
     let program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let admin = program.operators.expect("an address");
     let mut client = RawClient::connect(program.platform);
--- a/tests/measure_capture.rs
+++ b/tests/measure_capture.rs
@@ -1,14 +1,16 @@
 //! Cost of recording in the running program, as ratios within one run: processor time with the recorder on
-//! relative to off, of the whole process and of the serving thread, and bytes per request. Not part of the
-//! suite:
+//! relative to off, of the whole process and of the serving thread, and bytes per request. The test is
+//! ignored by default, and needs `--nocapture` to show its results.
 mod support;
 
 use std::thread;
 use support::timed_engine::BUSY;
 use support::*;
 
+/// Number of rounds, in each of which the program is measured with the recorder off and on.
 const ROUNDS: usize = 7;
 const SESSIONS: u64 = 8;
+/// Measured requests per session.
 const REQUESTS: u64 = 3_000;
 
 /// Processor time of the whole process and of its serving thread, in nanoseconds.
@@ -22,8 +24,8 @@
     (tasks.iter().map(|t| task_time(t)).sum(), task_time(&root.join(program.id().to_string())))
 }
 
-/// Measures one round: nanoseconds per request of the whole process and of the serving thread, and bytes
-/// recorded per request.
+/// Measures the program once, with the recorder on if `capture` is true: processor time per request of the
+/// whole process and of the serving thread, in nanoseconds, and bytes recorded per request.
 fn measure(capture: bool) -> (f64, f64, f64) {
     let engines: Vec<Engine> = (0..8).map(|_| Engine::echo()).collect();
     let ids: Vec<String> = (1..=8).map(|n| format!("s-{n}")).collect();
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -1,5 +1,7 @@
 //! Compares two builds of the program, as ratios within one run: processor time of a start, a request and a
-//! control feed event, and memory after the start and after the load. Not part of the suite:
+//! control feed event, and memory after the start and after the load. The test is ignored by default. It
+//! needs the paths of the two programs in `SPRUCELINK_BEFORE` and `SPRUCELINK_AFTER`, and `--nocapture` to
+//! show its table.
 mod support;
 
 use std::os::unix::fs::PermissionsExt;
@@ -8,9 +10,12 @@
 use support::timed_engine::BUSY;
 use support::*;
 
+/// Number of rounds, in each of which both programs are measured.
 const ROUNDS: usize = 7;
 const SESSIONS: u64 = 8;
+/// Measured requests per session.
 const REQUESTS: u64 = 600;
+/// Measured events of the control feed.
 const EVENTS: usize = 400;
 
 /// Processor time of the whole process so far, in microseconds.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -75,7 +75,7 @@
         );
     }
     assert_eq!((metric(admin, "discovered"), metric(admin, "ejected")), (2, 1));
-    // The list removes the engine and adds it again, then a complete list follows.
+    // List events remove the engine and add it again, then a complete list follows.
     let (id, address) = ("s-1", cordoned.address);
     let events = [(false, "draining"), (false, "gone"), (false, "ready"), (true, "ready")];
     let mut raw = RawClient::connect(program.platform);
@@ -145,8 +145,8 @@
     assert_eq!(call(admin, "POST", "/admin/health", "").0, 405);
 }
 
-/// Callers that leave at once, within a call, or before their answer affect neither other calls nor sessions,
-/// and leave no open descriptor.
+/// Callers that disconnect at once, within a call, or before their answer affect neither other calls nor
+/// sessions, and leave no open descriptor.
 #[test]
 fn aborted_admin_calls_leave_no_state() {
     let engine = Engine::echo();
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,11 +1,11 @@
-//! Property tests of the codecs, with valid input truncated at any byte and with random bytes, from fixed
-//! seeds.
+//! Property tests of the codecs with valid input that is truncated at any byte and with random bytes. The
+//! inputs are drawn from fixed seeds.
 
 use quickcheck::{Arbitrary, Gen};
 use sprucelink::proto::engine_command::QueryFields;
 use sprucelink::proto::{engine_answer, events, fields, literal, pg, resp, sse, tables};
 
-/// Checks a property with 2,000 values that are the same in every run.
+/// Checks a property with 2,000 values drawn from `seed`.
 fn check<A: Arbitrary + std::fmt::Debug>(seed: u64, property: fn(A) -> bool) {
     let mut gen = Gen::from_size_and_seed(64, seed);
     for _ in 0..2_000 {
@@ -97,8 +97,8 @@
     out
 }
 
-/// An array truncated at any byte needs more input; a complete one is read as it was written, whatever
-/// follows it.
+/// An array truncated at any byte is incomplete; a complete array is read as it was written, whatever bytes
+/// follow it.
 #[test]
 fn truncated_arrays_are_incomplete() {
     check(3, |parts: Vec<String>| {
@@ -116,7 +116,7 @@
     });
 }
 
-/// A message truncated at any byte needs more input, and is never read as another message.
+/// A message truncated at any byte is incomplete, and is never read as another message.
 #[test]
 fn truncated_client_messages_are_incomplete() {
     check(4, |(name, sql, values): (String, String, Vec<Option<Vec<u8>>>)| {
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -183,7 +183,8 @@
         "*4\r\n$16\r\n@\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$3221225472\r\n".into(),
         "*4\r\n$16\r\n@\r\n$6\r\nser".into(),
     ];
-    // Three for each process, which is its retry budget.
+    // Three malformed answers per process, which is the number of retries that its retry budget always
+    // allows.
     for malformed in malformed.chunks(3) {
         let (answers, attempts) = (malformed.to_vec(), AtomicUsize::new(0));
         // Every second answer is malformed, each in a different way.
@@ -272,7 +273,8 @@
     drop(silent);
 }
 
-/// An incomplete message must not keep a slot and a buffer for ever; its sender gets an error.
+/// An incomplete message must not occupy a slot and a buffer for ever: after a timeout its sender gets an
+/// error.
 #[test]
 fn incomplete_message_times_out_with_an_error() {
     let program = Program::start(&[], None, None);
@@ -379,7 +381,8 @@
     assert_eq!(rows(&raw.ask(&sql("lane-rate", 2, ""))).len(), 1);
 }
 
-/// SIGTERM: admitted requests are answered, those that still arrive are served, and the exit code is 0.
+/// After SIGTERM admitted requests are answered, requests that still arrive are served, and the exit status
+/// is 0.
 #[test]
 fn stop_answers_admitted_requests_and_exits_with_0() {
     let engine = Engine::start(|command| {
@@ -395,8 +398,8 @@
     program.wait_line("stopping open_requests=");
     if idle.stream.write_all(&query("")).is_ok() {
         let answer = idle.message().map(|m| m.0);
-        // Requests are served for another 0.6 s; on a machine that took longer to get here this checks
-        // nothing.
+        // Requests are served for another 0.6 s. On a slow machine the message may have been sent too late,
+        // and is then not checked.
         assert!(answer == Some(b'I') || terminated_at.elapsed() > Duration::from_millis(500), "{answer:?}");
         assert!(answer.is_none() || idle.message().map(|m| m.0) == Some(b'Z'));
     }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,5 +1,6 @@
-//! Readiness: a started process answers an empty query within 10 s, also with discovery down, a silent feed,
-//! engines that never accept, and many starts at once. A start that fails reports a clear reason.
+//! Readiness: a started process answers an empty query within 10 s, also with a feed that refuses connections
+//! or is silent, with engines that never accept, and with many starts at once. A start that fails reports the
+//! reason.
 mod support;
 
 use std::net::{SocketAddr, TcpListener};
@@ -7,19 +8,19 @@
 use std::sync::Barrier;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::resource_limits::{DiscoveryMode, FeedProxy};
+use support::resource_limits::{FeedProxy, FeedProxyMode};
 use support::*;
 
 /// Time within which a started process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The options of the platform's `run` line, without and with the cold start.
+/// Options with which the platform starts the program, without and with the cold start.
 const OPTIONS: [&[&str]; 2] = [
     &["--failover", "deploy/failover.json5"],
     &["--failover", "deploy/failover.json5", "--cold-start", "deploy/cold-start.json5"],
 ];
 
-/// Starts the program; also returns the time until it answered an empty query, which is the platform's health
+/// Starts the program. Also returns the time until it answered an empty query, which is the platform's health
 /// check.
 fn start(config: &str, extra_args: &[&str]) -> (Program, Duration) {
     let started_at = Instant::now();
@@ -58,13 +59,13 @@
     ));
 }
 
-/// Checks the start with a feed that treats calls in this way.
-fn check_ready_with_feed(discovery: DiscoveryMode) {
+/// Checks that the program becomes ready with a feed in this mode, and that it calls the feed.
+fn check_ready_with_feed(mode: FeedProxyMode) {
     let engine = Engine::echo();
-    let feed_proxy = FeedProxy::start(refusing_address(), discovery);
+    let feed_proxy = FeedProxy::start(refusing_address(), mode);
     let config =
         resource_limits::config(&[("s-1", engine.address)], Some(feed_proxy.address), 1024, SETTINGS);
-    // The program would otherwise be killed when it is ready, possibly before its first poll.
+    // Without this wait the program would be killed as soon as it is ready, possibly before its first call.
     let mut starts = 0;
     check_ready_and(&config, || {
         starts += 1;
@@ -74,12 +75,12 @@
 
 #[test]
 fn start_is_ready_while_the_feed_never_answers() {
-    check_ready_with_feed(DiscoveryMode::Silent);
+    check_ready_with_feed(FeedProxyMode::Silent);
 }
 
 #[test]
 fn start_is_ready_while_the_feed_sends_only_its_head() {
-    check_ready_with_feed(DiscoveryMode::HeadOnly);
+    check_ready_with_feed(FeedProxyMode::HeadOnly);
 }
 
 /// Connections to these engines are never established.
@@ -105,8 +106,8 @@
     }
 }
 
-/// Thirty processes start at once, with discovery down and an engine that never accepts: nine in ten are
-/// ready in time.
+/// Thirty processes start at once, with a feed that refuses connections and an engine that never accepts: at
+/// least 27 are ready within [`READY_TIMEOUT`].
 #[test]
 fn thirty_simultaneous_starts_are_ready() {
     let (engine, listener) = (Engine::echo(), DelayedListener::listen());
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -1,6 +1,7 @@
 //! Records the runs that the cases in `captures/` are cut from: the program with timed stand-in engines, in
-//! real time. Not part of the suite. `cargo test --release --test record_cases -- --ignored --nocapture
-//! --test-threads 1` writes one folder per run under `target/cases/`, and prints the moment to cut around.
+//! real time. The tests are ignored by default. `cargo test --release --test record_cases -- --ignored
+//! --nocapture --test-threads 1` writes one folder per run under `target/cases/`, and prints the time around
+//! which a case is cut.
 mod support;
 
 use std::path::Path;
@@ -12,14 +13,14 @@
 use support::timed_engine::{lookup_sql, TimedEngine, BUSY};
 use support::*;
 
-/// Sessions that send requests; further requests wait until a session is free.
+/// Number of sessions that send requests; further requests wait until a session is free.
 const SESSIONS: usize = 96;
 
 struct Run {
     engines: Vec<TimedEngine>,
     feed: Feed,
     program: Program,
-    /// Queue of request ids and their work in milliseconds.
+    /// Queue of requests: id and work in milliseconds.
     requests: SyncSender<(u64, u64)>,
     next_id: AtomicU64,
     served: Arc<AtomicUsize>,
@@ -110,7 +111,8 @@
     run.end();
 }
 
-/// An engine drains under load, and requests arrive every 0.25 ms around the end of its grace period.
+/// An engine drains under load. Requests arrive every 0.25 ms from 15 ms before to 15 ms after the end of the
+/// drain grace period, the 0.5 s after the notice in which requests may still be sent to the engine.
 #[test]
 #[ignore = "records a run in real time"]
 fn requests_arrive_around_the_end_of_a_drain_grace_period() {
@@ -150,7 +152,8 @@
     run.end();
 }
 
-/// Connections to every engine break repeatedly: many more retries are wanted than the retry budget allows.
+/// Connections to every engine break repeatedly: many more attempts fail than the retry budget allows
+/// retries.
 #[test]
 #[ignore = "records a run in real time"]
 fn connections_break() {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short run of the fault soak: processes whose system calls fail, and which are stopped, killed and
+//! A short run of the fault soak: the system calls of managers fail, and the managers are stopped, killed and
 //! reloaded while clients and engines misbehave. Long runs use `sprucelink-fault-soak`
 //! (docs/operators/fault-soak.md).
 
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -1,5 +1,6 @@
-//! Stops by SIGTERM: the platform opens new connections for another 0.2 to 0.4 s and sends requests on open
-//! ones for another 0.2 s. Each of these requests is answered, and sessions end after their last answer.
+//! Stops by SIGTERM. The platform continues to open connections for 0.2 to 0.4 s after the signal, and to
+//! send requests on open connections for another 0.2 s. Each of these requests is answered, and sessions end
+//! after their last answer.
 mod support;
 
 use std::io::Write;
@@ -10,11 +11,12 @@
 use support::timed_engine::TimedEngine;
 use support::*;
 
-/// Time after SIGTERM until which the platform may open a connection, and until which it may send a request
-/// on an open one.
+/// Time after SIGTERM until which the platform may open a connection.
 const LAST_CONNECTION: Duration = Duration::from_millis(400);
+/// Time after SIGTERM until which the platform may send a request on an open connection.
 const LAST_REQUEST: Duration = Duration::from_millis(600);
-/// Margin before these times in which a test sends nothing, so that a delayed test does not send too late.
+/// Margin before [`LAST_CONNECTION`] and [`LAST_REQUEST`] in which a test sends nothing, so that a delayed
+/// test does not send too late.
 const SAFETY_MARGIN: Duration = Duration::from_millis(10);
 
 fn sql(req: u64, ms: u64) -> String {
@@ -110,7 +112,7 @@
     let sent_after = terminated_at.elapsed();
     thread::sleep(Duration::from_millis(1_000));
     signal(&program, "-CONT");
-    // On a machine that took longer to get here this checks nothing.
+    // If the requests were sent too late on a slow machine, their answers are not checked.
     if sent_after + SAFETY_MARGIN < LAST_CONNECTION {
         let answered: Vec<usize> = open.iter_mut().map(|raw| count_rows(raw, 1)).collect();
         assert_eq!(answered, vec![1; 16], "on connections that were open");
@@ -133,7 +135,8 @@
     rows(&messages).len()
 }
 
-/// Stops a program while a request of 1.5 s is in flight; also returns that request's client.
+/// Sends SIGTERM to a program while a request with a service time of 1.5 s is in flight. Returns the engine,
+/// the program and the request's client.
 fn stopped_with_one_in_flight() -> (TimedEngine, Program, RawClient) {
     let engine = TimedEngine::start();
     let program = Program::start(&[("s-1", engine.address)], None, None);
@@ -173,13 +176,13 @@
     assert_eq!(error_fields(&answer)[0], "40003", "it may have run");
     let after = terminated_at.elapsed();
     assert_eq!(program.wait_for_exit(), Some(0));
-    // Not while other requests may still be answered.
+    // The error is not sent while other requests may still be answered.
     assert!(after > Duration::from_secs(3), "{after:?}");
     engine.wait_for("undo", 1);
 }
 
-/// A request that arrives during the stop with a deadline after the process's end: its engine gets only the
-/// remaining time, and its client gets an error before the kill.
+/// A request arrives during the stop, and its deadline is after the process's end: its engine gets only the
+/// time that remains, and its client gets an error before the platform kills the process.
 #[test]
 fn request_during_a_stop_gets_the_remaining_time() {
     let engine = Engine::start(|_| Reply::Hold);
@@ -225,7 +228,7 @@
 #[test]
 fn last_answer_is_delivered_to_a_client_that_still_writes() {
     let (engine, mut program, mut raw) = stopped_with_one_in_flight();
-    // The complete answer has arrived, and is unread.
+    // Waits until the complete answer has arrived, without reading it.
     let mut peeked = [0; 4096];
     wait_until(|| {
         let n = raw.stream.peek(&mut peeked).expect("peeked");
--- a/tests/support/resource_limits.rs
+++ b/tests/support/resource_limits.rs
@@ -78,7 +78,7 @@
 
 /// How a [`FeedProxy`] treats new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiscoveryMode {
+pub enum FeedProxyMode {
     /// Closes each call at once.
     Down,
     /// Accepts each call and never answers.
@@ -97,7 +97,7 @@
 }
 
 impl FeedProxy {
-    pub fn start(feed: SocketAddr, mode: DiscoveryMode) -> FeedProxy {
+    pub fn start(feed: SocketAddr, mode: FeedProxyMode) -> FeedProxy {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (mode, calls) = (Arc::new(AtomicU8::new(mode as u8)), Arc::new(AtomicU64::new(0)));
@@ -107,9 +107,9 @@
             for mut caller in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
                 match current_mode.load(Ordering::SeqCst) {
-                    m if m == DiscoveryMode::Down as u8 => drop(caller),
-                    m if m == DiscoveryMode::Silent as u8 => open.push(caller),
-                    m if m == DiscoveryMode::HeadOnly as u8 => {
+                    m if m == FeedProxyMode::Down as u8 => drop(caller),
+                    m if m == FeedProxyMode::Silent as u8 => open.push(caller),
+                    m if m == FeedProxyMode::HeadOnly as u8 => {
                         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
                         // A caller that has disconnected isn't kept.
                         if caller.write_all(head.as_bytes()).is_ok() {
@@ -123,7 +123,7 @@
         FeedProxy { address, mode, calls }
     }
 
-    pub fn set(&self, mode: DiscoveryMode) {
+    pub fn set(&self, mode: FeedProxyMode) {
         self.mode.store(mode as u8, Ordering::SeqCst);
     }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -31,7 +31,8 @@
 struct OutcomeCounts {
     served: AtomicU64,
     rejected: AtomicU64,
-    /// Requests that crossed the close of their connection: retried once on a new one, as the platform does.
+    /// Requests that were sent while the program was closing their connection. They are retried once on a new
+    /// connection, as the platform does.
     crossed_close: AtomicU64,
 }
 
@@ -88,8 +89,8 @@
     }
 }
 
-/// Three consecutive hot restarts under load. Every request gets a response; at most a few cross a close and
-/// are retried.
+/// Three consecutive hot restarts under load. Every request gets a response; at most a few are sent while the
+/// program closes their connection, and are retried.
 #[test]
 fn no_request_is_rejected_or_lost_in_hot_restarts_under_load() {
     let engines: Vec<TimedEngine> = (0..3).map(|_| TimedEngine::start()).collect();
@@ -165,7 +166,8 @@
     });
 }
 
-/// The new process dies before it is healthy, and another one after: the old process continues to serve.
+/// One new process dies before it is healthy, and another one after it is: the old process continues to
+/// serve.
 #[test]
 fn old_process_continues_to_serve_when_the_new_one_dies() {
     let engine = TimedEngine::start();
@@ -182,7 +184,7 @@
             wait_until(|| (outcomes.served.load(Ordering::SeqCst) >= before + count).then_some(()));
         };
         wait_for_served(100);
-        // The process listens, and has not yet answered a health check.
+        // This process listens, and dies before it has answered a health check.
         let mut early = Program::start_on_shared_listener(&listener, &folder, &engines);
         early.kill();
         wait_for_served(100);
@@ -223,7 +225,7 @@
         .any(|l| l.ends_with("hot restart phase changed phase=Serving budget_parts=1")));
 }
 
-/// Damaged files, and files of other programs, cause at most a log line.
+/// Damaged state files, and files of other programs in the state folder, cause at most a log line.
 #[test]
 fn damaged_and_foreign_files_are_ignored() {
     let engine = Engine::echo();
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -1,6 +1,9 @@
-//! Watches of the control feed under faults: silent or slow responses, changes of the feed during a call,
-//! restarted numbering, and late or repeated events. The feed here does nothing by itself: each call is
-//! handed to the test, which writes its bytes and ends it.
+//! Calls to the control feed under faults: silent or slow responses, changes of the feed during a call,
+//! restarted event numbering, and late or repeated events. The stand-in feed hands each call to the test,
+//! which writes the response and closes the call.
+//!
+//! "Missed drain": an engine that the feed lists as draining continues to get requests, because the event was
+//! not read or not applied. Where a comment says what an earlier version did, the test guards against it.
 mod support;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -17,7 +20,7 @@
 /// A feed that hands its calls to the test.
 struct ScriptedFeed {
     address: SocketAddr,
-    /// Last-Event-ID and connection of each call.
+    /// Last-Event-ID and connection of each call that the test has not yet taken.
     calls: Receiver<(u64, TcpStream)>,
 }
 
@@ -46,7 +49,8 @@
         self.calls.recv_timeout(WAIT_TIMEOUT).expect("a call")
     }
 
-    /// Answers the next call with a response head and these bytes.
+    /// Answers the next call with a response head and these bytes; returns its Last-Event-ID and its
+    /// connection.
     fn answer(&self, bytes: impl AsRef<[u8]>) -> (u64, TcpStream) {
         let (last_event, mut stream) = self.next_call();
         write(&mut stream, HEAD);
@@ -55,8 +59,8 @@
     }
 }
 
-/// Writes to a call. Errors are ignored, since the caller may have disconnected: the test checks its
-/// reaction.
+/// Writes to a call. Errors are ignored, since the program may have disconnected: the test checks the
+/// program's reaction.
 fn write(to: &mut TcpStream, bytes: impl AsRef<[u8]>) {
     let _ = to.write_all(bytes.as_ref());
 }
@@ -94,15 +98,15 @@
 
 // ---- Timeouts ------------------------------------------------------------------------------
 
-/// Guards against missed drains: a feed that sent one byte now and then, and no event, was never polled
-/// again.
+/// A call whose response consists of single bytes and no event is closed, and the feed is called again. In an
+/// earlier version it was not, and drains were missed.
 #[test]
-fn watch_that_only_trickles_is_polled_again() {
+fn feed_that_sends_only_incomplete_comments_is_called_again() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, mut stream) = feed.answer(": here\n\n");
     thread::spawn(move || {
-        // Always well within the silence timeout of a watch, and never a complete comment.
+        // The bytes follow each other well within the silence timeout, and never form a complete comment.
         while stream.write_all(b":").is_ok() {
             thread::sleep(Duration::from_millis(300));
         }
@@ -114,10 +118,10 @@
     write(&mut second, ": here\n\n");
 }
 
-/// Guards against missed drains: a call that gets no response must cost no more than the timeout of one
-/// response head.
+/// A call that became silent and the call after it, which gets no response, are both closed. The unanswered
+/// call must cost no more than the timeout of one response head, or drains are missed.
 #[test]
-fn silent_watch_and_silent_poll_after_it_are_both_cancelled() {
+fn silent_call_and_unanswered_call_after_it_are_both_closed() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
     let (_, silent) = feed.answer(": here\n\n");
@@ -135,7 +139,8 @@
 
 // ---- Event numbers -------------------------------------------------------------------------
 
-/// Guards against missed drains: after a feed restarted its numbering at 1, its events were ignored.
+/// After a feed restarts its event numbering at 1, its events apply. In an earlier version they were ignored,
+/// and drains were missed.
 #[test]
 fn restarted_event_numbering_is_followed() {
     let feed = ScriptedFeed::start();
@@ -143,8 +148,7 @@
     let (_, first) = feed.answer(engine_event(40, "s-2", "ready"));
     program.wait_line("engine_id=s-2 phase=Ready");
     drop(first);
-    // The complete list under number 1, with a revision after that of event 40, and the event that follows
-    // it.
+    // The complete list is event 1, with a revision after that of event 40; event 2 follows it.
     let complete =
         list(41, true, &[("s-2", unreachable_address(), "ready"), ("s-3", unreachable_address(), "ready")]);
     let (last_event, second) = feed.answer(
@@ -159,7 +163,7 @@
     program.wait_line("engine_id=s-2 phase=Draining");
     program.wait_line("engine_id=s-1 phase=Gone");
     drop(second);
-    // From then on the new numbers count, and repeated events are ignored as before.
+    // After that the new numbers count, and repeated events are ignored as before.
     let repeated = event(1, &complete.replace("{\"n\":41", "{\"n\":1"));
     let (last_event, _third) =
         feed.answer([repeated, engine_event(43, "s-4", "ready").replace("43", "3")].concat());
@@ -168,8 +172,8 @@
     assert_eq!(count_lines(&program, "engine_id=s-3 phase=Ready"), 1);
 }
 
-/// Guards against missed drains: an event out of order was taken for a repeat. It applies to engines for
-/// which no later event was received, and to no others.
+/// An event that arrives out of order applies to the engines for which no later event was received, and to no
+/// other engine. In an earlier version it was ignored as a repeated event, and drains were missed.
 #[test]
 fn late_event_applies_where_no_later_one_was_received() {
     let feed = ScriptedFeed::start();
@@ -195,8 +199,8 @@
     assert_eq!(feed.next_call().0, 5);
 }
 
-/// Guards against old events that restore engines which are gone: an empty list that is sent twice does not
-/// restart the numbering.
+/// An empty list that is sent twice does not restart the event numbering. Otherwise older events would
+/// restore engines that are gone.
 #[test]
 fn empty_list_starts_no_new_numbering() {
     let feed = ScriptedFeed::start();
@@ -213,8 +217,8 @@
     assert_eq!(count_lines(&program, "event numbering restarted"), 0);
 }
 
-/// Guards against missed drains: when the number in an event's data differed from the event's id, all later
-/// events were ignored.
+/// If the number in an event's data differs from the event's id, the id counts. In an earlier version all
+/// later events were then ignored, and drains were missed.
 #[test]
 fn event_counts_under_its_own_number() {
     let feed = ScriptedFeed::start();
@@ -237,7 +241,7 @@
     assert_eq!(feed.next_call().0, 4);
 }
 
-/// Gives the same answer to `calls` calls, each of which requests the events after the first.
+/// Gives the same answer to the next `calls` calls, each of which must request the events after event 1.
 fn answer_repeatedly(feed: &ScriptedFeed, answer: &str, calls: usize) {
     for _ in 0..calls {
         let (last_event, stream) = feed.answer(answer);
@@ -246,7 +250,8 @@
     }
 }
 
-/// Guards against missed drains: after an event number that no feed can reach, all later events were ignored.
+/// After an event number that no feed can reach, later events apply. In an earlier version they were ignored,
+/// and drains were missed.
 #[test]
 fn implausible_event_number_skips_nothing() {
     let feed = ScriptedFeed::start();
@@ -264,8 +269,8 @@
 
 // ---- Events that cannot be read ------------------------------------------------------------
 
-/// Guards against missed drains: two unreadable events in one response reset each other's retry count, so
-/// that no event after them was ever read.
+/// Two unreadable events in one response are each requested again three times and then skipped. In an earlier
+/// version they reset each other's retry count, so that no event after them, such as a drain, was ever read.
 #[test]
 fn two_unreadable_events_are_both_finally_skipped() {
     let feed = ScriptedFeed::start();
@@ -278,8 +283,8 @@
     assert_eq!(feed.next_call().0, 3);
 }
 
-/// Guards against missed drains: an event too long to be read was sent again with every call, so that no
-/// event after it was ever read.
+/// An event that is too long to be read is requested again three times and then skipped. In an earlier
+/// version it was requested with every call, so that no later event, such as a drain, was ever read.
 #[test]
 fn oversized_event_is_finally_skipped() {
     let feed = ScriptedFeed::start();
@@ -298,8 +303,8 @@
     assert_eq!(count_lines(&program, "feed event skipped error=\"field data is too long"), 1);
 }
 
-/// Guards against missed drains: invalid UTF-8 was read as another engine's id, and the drain of the right
-/// engine counted as received.
+/// An event that is not valid UTF-8 is requested again. In an earlier version a damaged id was read as that
+/// of another engine, and the drain of the right engine counted as received.
 #[test]
 fn event_that_is_not_utf_8_is_requested_again() {
     let feed = ScriptedFeed::start();
@@ -316,8 +321,8 @@
 
 // ---- Endpoint lists ------------------------------------------------------------------------
 
-/// Guards against requests to removed engines: a complete list without an engine removes it, but a request
-/// that waited for a connection to it was sent seconds later.
+/// A complete list without an engine removes the engine, and a request that waits for a connection to it is
+/// sent to another engine. In an earlier version the request was sent to the removed engine seconds later.
 #[test]
 fn engine_missing_from_a_full_list_gets_no_new_requests() {
     let (feed, removed, remaining) = (ScriptedFeed::start(), DelayedListener::listen(), Engine::echo());
@@ -342,8 +347,8 @@
     assert_eq!(count_lines(&program, "engine_id=s-1 phase=Gone"), 1);
 }
 
-/// Guards against missed drains: of two entries for one engine in a list the later one applied, whichever it
-/// was.
+/// If a list has two entries for one engine, the more restrictive one applies. In an earlier version the
+/// later one applied, and drains were missed.
 #[test]
 fn more_restrictive_of_two_entries_for_one_engine_applies() {
     let (feed, draining, ready) = (ScriptedFeed::start(), Engine::echo(), Engine::echo());
@@ -365,8 +370,8 @@
 
 // ---- Changes of the feed's address ---------------------------------------------------------
 
-/// Guards against missed drains: a partial event of the old feed must not count, and must not be applied
-/// twice.
+/// A partial event of the old feed is not applied, and the new feed's copy of it is applied once. Otherwise a
+/// drain could be missed.
 #[test]
 fn partial_event_of_the_old_feed_is_not_joined_with_the_new_one() {
     let (old, new) = (ScriptedFeed::start(), ScriptedFeed::start());
@@ -385,8 +390,8 @@
     assert_eq!(count_lines(&program, "engine_id=s-1 phase=Draining"), 1);
 }
 
-/// A named pipe in place of a program's configuration file: a reload blocks until the test writes to the
-/// pipe.
+/// A reload that blocks, because a named pipe replaces the program's configuration file, until the test has
+/// written to the pipe and closed it.
 struct BlockedReload {
     file: std::path::PathBuf,
     pipe: std::path::PathBuf,
@@ -421,11 +426,11 @@
     }
 }
 
-/// The value on Linux.
+/// Value of the flag on Linux.
 const O_NONBLOCK: i32 = 0o4000;
 
-/// Guards against losing a SIGHUP during a reload: the file is replaced while it is read, and the new file
-/// must apply.
+/// The configuration file is replaced while the program reads it, and SIGHUP is sent again: the new file must
+/// apply, so the signal must not be lost.
 #[test]
 fn sighup_during_a_reload_causes_another_reload() {
     let (old, new) = (ScriptedFeed::start(), ScriptedFeed::start());
@@ -449,8 +454,8 @@
     assert!(client.message().is_some());
 }
 
-/// Guards against a stop that waits for a reload: a file that could not be read to its end kept the process
-/// running after everything was answered.
+/// A stop does not wait for a reload. In an earlier version a file that could not be read to its end kept the
+/// process running after all requests were answered.
 #[test]
 fn stop_does_not_wait_for_a_reload_in_progress() {
     let mut program = Program::start(&[("s-1", unreachable_address())], None, None);
@@ -463,7 +468,7 @@
     drop(pipe);
 }
 
-/// Guards against losing the feed when a configuration names no valid address: the old feed stays.
+/// When a new configuration has no valid feed address, the program continues to use the old feed.
 #[test]
 fn reload_with_an_invalid_feed_address_changes_nothing() {
     let feed = ScriptedFeed::start();
@@ -475,7 +480,7 @@
         let quoted = format!("{invalid:?}").replace('"', "\\\"");
         program.wait_line(&format!("feed: {quoted} is no address and port"));
     }
-    // The same address changes nothing either: the open call continues.
+    // A reload with an unchanged address changes nothing either: the open call continues.
     program.reload(&config);
     wait_until(|| (count_lines(&program, "configuration reloaded") == 2).then_some(()));
     write(&mut stream, engine_event(2, "s-1", "draining"));
