--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -22,8 +22,8 @@
 
 /// Sends lookups with consecutive ids on one session and returns the number of rows received.
 fn send_lookups(program: &Program, first_id: u64, count: u64) -> usize {
-    let mut raw = RawClient::connect(program.platform);
-    (first_id..first_id + count).map(|id| rows(&raw.ask(&lookup_sql(id, 5))).len()).sum()
+    let mut client = RawClient::connect(program.platform);
+    (first_id..first_id + count).map(|id| rows(&client.ask(&lookup_sql(id, 5))).len()).sum()
 }
 
 /// Replays in ten processes give the same digest, and `explain` shows the history of a request or an engine.
--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -82,9 +82,9 @@
     let mut without_certificate = start_program(&authority, challenges, None);
     wait_until(|| (authority.rejected_orders() >= 4).then_some(()));
     assert!(without_certificate.running());
-    let mut raw = RawClient::open(without_certificate.second.expect("on"));
-    raw.send(&startup());
-    let message = raw.message().expect("an answer");
+    let mut client = RawClient::open(without_certificate.second.expect("on"));
+    client.send(&startup());
+    let message = client.message().expect("an answer");
     assert_eq!(error_fields(&[message])[0], "57P03", "there is no certificate yet");
     let delays: Vec<String> = without_certificate
         .lines()
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -87,7 +87,7 @@
 fn flood_of_challenge_requests_affects_no_valid_request_or_session() {
     let engine = Engine::echo();
     let (program, challenges) = start_program(&engine);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     let before = descriptors(program.id());
     let watched = DescriptorWatch::start(program.id());
     let mut held = Vec::new();
@@ -106,7 +106,7 @@
                 "valid request after {i} connections"
             );
             let sql = format!("/* kind=lane-rate,req={i:016x},timeout=20000,owner=sud */ SELECT a FROM b");
-            assert_eq!(rows(&raw.ask(&sql)).len(), 1);
+            assert_eq!(rows(&client.ask(&sql)).len(), 1);
         }
     }
     let peak = watched.peak();
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -64,8 +64,8 @@
     let line = program.wait_line("manager is ready after_s=");
     assert!(line.contains("feed_answered=true") || line.contains("feed_answered=false"), "{line}");
     assert!(line.contains(" engines=1 "), "{line}");
-    let mut raw = RawClient::connect(program.platform);
-    let answer = raw.ask(
+    let mut client = RawClient::connect(program.platform);
+    let answer = client.ask(
         "/* kind=lane-rate,req=0000000000000001,timeout=20000,owner=sud */ SELECT a FROM sales_17.orders",
     );
     assert_eq!(rows(&answer).len(), 1, "served after the cold start");
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -90,9 +90,9 @@
 
 /// Starts a session whose writes time out within the test.
 fn session(program: &Program, front: Front) -> RawClient {
-    let raw = RawClient::connect(front.address(program));
-    raw.stream.set_write_timeout(Some(Duration::from_secs(20))).expect("set");
-    raw
+    let client = RawClient::connect(front.address(program));
+    client.stream.set_write_timeout(Some(Duration::from_secs(20))).expect("set");
+    client
 }
 
 /// Closes a connection with a reset.
@@ -107,8 +107,8 @@
 
 /// Waits until the program has read everything that was written to it, including the end of the stream: the
 /// client's send queue and the program's receive queue are empty.
-fn wait_until_all_read(raw: &RawClient) {
-    let (local, peer) = (raw.stream.local_addr(), raw.stream.peer_addr());
+fn wait_until_all_read(client: &RawClient) {
+    let (local, peer) = (client.stream.local_addr(), client.stream.peer_addr());
     let ports = [local.expect("an address").port(), peer.expect("an address").port()];
     let port = |field: &str| u16::from_str_radix(field.rsplit(':').next().expect("a port"), 16).expect("hex");
     wait_until(|| {
@@ -160,23 +160,23 @@
 
 /// Sends more bytes than the session may read ahead, then leaves. Returns once the program has noticed the
 /// departure.
-fn leave(program: &Program, front: Front, departure: Departure, mut raw: RawClient) {
+fn leave(program: &Program, front: Front, departure: Departure, mut client: RawClient) {
     let abandoned = program_metric(program, "abandoned");
-    let sent = raw.stream.write_all(&front.overflow(departure != Departure::Cancel));
+    let sent = client.stream.write_all(&front.overflow(departure != Departure::Cancel));
     assert!(sent.is_ok(), "{front:?} {departure:?}: the front must continue to read: {sent:?}");
     match departure {
-        Departure::Close => drop(raw),
-        Departure::Reset => reset(raw.stream),
+        Departure::Close => drop(client),
+        Departure::Reset => reset(client.stream),
         Departure::Cancel => {
-            wait_until_all_read(&raw);
-            raw.cancel(front.address(program));
-            let cancelled = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E').expect("an error");
+            wait_until_all_read(&client);
+            client.cancel(front.address(program));
+            let cancelled = std::iter::from_fn(|| client.message()).find(|m| m.0 == b'E').expect("an error");
             assert_eq!(error_fields(&[cancelled])[0], "57014", "{front:?}");
-            let last = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E').expect("a final error");
+            let last = std::iter::from_fn(|| client.message()).find(|m| m.0 == b'E').expect("a final error");
             let [code, message, _, hint] = error_fields(&[last]);
             assert_eq!(code, "54000", "{front:?}: {message}");
             assert!(message.contains(&front.read_ahead_limit().to_string()) && !hint.is_empty(), "{message}");
-            assert!(raw.message().is_none());
+            assert!(client.message().is_none());
             return;
         }
     }
@@ -208,10 +208,10 @@
         let (engine, feed) = (start_engine(), Feed::start());
         feed.send("{\"n\":1}");
         let program = start_program(&[], Some(&feed), OPERATOR);
-        let (mut raw, other) = (session(&program, front), session(&program, front));
-        raw.send(&front.request(1, "gone", 1));
+        let (mut client, other) = (session(&program, front), session(&program, front));
+        client.send(&front.request(1, "gone", 1));
         wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
-        leave(&program, front, departure, raw);
+        leave(&program, front, departure, client);
         feed.send(list(2, false, &[("s-1", engine.address, "ready")]));
         program.wait_line("engine_id=s-1 phase=Ready");
         check_only_later_request_sent(front, departure, &engine, other, &[]);
@@ -224,10 +224,10 @@
     for_each_front_and_departure(|front, departure| {
         let listener = DelayedListener::listen();
         let program = start_program(&[("s-1", listener.address)], None, OPERATOR);
-        let (mut raw, other) = (session(&program, front), session(&program, front));
-        raw.send(&front.request(1, "gone", 1));
+        let (mut client, other) = (session(&program, front), session(&program, front));
+        client.send(&front.request(1, "gone", 1));
         wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
-        leave(&program, front, departure, raw);
+        leave(&program, front, departure, client);
         let engine = listener.open(|command| row(selected_column(command)));
         check_only_later_request_sent(front, departure, &engine, other, &[]);
     });
@@ -258,18 +258,18 @@
         let (second, feed) = (start_engine(), Feed::start());
         feed.send("{\"n\":1}");
         let program = start_program(&[("s-1", first.address)], Some(&feed), OPERATOR);
-        let (mut raw, other) = (session(&program, front), session(&program, front));
+        let (mut client, other) = (session(&program, front), session(&program, front));
         let mut marker = session(&program, Front::Platform);
         marker.send(&Front::Platform.request(9, "marker", 1));
         first.wait_for("do", 1);
-        raw.send(&front.request(1, "gone", 1));
+        client.send(&front.request(1, "gone", 1));
         first.wait_for("do", 2);
         feed.send(list(2, false, &[("s-1", first.address, "draining")]));
         program.wait_line("engine_id=s-1 phase=Draining");
         drained.store(true, Ordering::SeqCst);
         assert_eq!(rows(&marker.until_ready()), ["marker|b|c"]);
         assert_eq!(program_metric(&program, "outstanding"), 1, "the request waits for another attempt");
-        leave(&program, front, departure, raw);
+        leave(&program, front, departure, client);
         let before = first.received("do").len();
         feed.send(list(3, false, &[("s-2", second.address, "ready")]));
         program.wait_line("engine_id=s-2 phase=Ready");
@@ -338,17 +338,17 @@
             row(selected_column(command))
         });
         let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
-        let mut raw = session(&program, front);
+        let mut client = session(&program, front);
         // The requests have different lengths, so that the limit is in the middle of a request.
         let requests: Vec<Vec<u8>> =
             (0..200).map(|n| front.request(n, &format!("n{n}"), 9_000 + 37 * n as usize)).collect();
-        raw.send(&requests[0]);
+        client.send(&requests[0]);
         engine.wait_for("do", 1);
-        let sent = raw.stream.write_all(&requests[1..].concat());
+        let sent = client.stream.write_all(&requests[1..].concat());
         assert!(sent.is_ok(), "{front:?}: the front must continue to read: {sent:?}");
-        wait_until_all_read(&raw);
+        wait_until_all_read(&client);
         release.store(true, Ordering::SeqCst);
-        let messages: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
+        let messages: Vec<Message> = std::iter::from_fn(|| client.message()).collect();
         let served_rows = rows(&messages);
         let served = served_rows.len();
         assert_eq!(served_rows, (0..served).map(|n| format!("n{n}|b|c")).collect::<Vec<_>>(), "{front:?}");
@@ -373,17 +373,17 @@
     let program = Program::launch_in(&vars, None, &listed, None, Some(OPERATOR), (16, 1024), SETTINGS, &[]);
     let to = Front::Second.address(&program);
     let start_session = |outstanding: u64| {
-        let mut raw = session(&program, Front::Second);
-        raw.send(&Front::Second.request(1, "gone", 1));
+        let mut client = session(&program, Front::Second);
+        client.send(&Front::Second.request(1, "gone", 1));
         // It does not matter whether the request has reached the engine.
         wait_until(|| (program_metric(&program, "outstanding") == outstanding).then_some(()));
-        raw.send(&Front::Second.overflow(false));
-        wait_until_all_read(&raw);
-        raw
+        client.send(&Front::Second.overflow(false));
+        wait_until_all_read(&client);
+        client
     };
-    let cancel_and_read_errors = |mut raw: RawClient| {
-        raw.cancel(to);
-        let messages: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
+    let cancel_and_read_errors = |mut client: RawClient| {
+        client.cancel(to);
+        let messages: Vec<Message> = std::iter::from_fn(|| client.message()).collect();
         let errors = messages.into_iter().filter(|m| m.0 == b'E');
         errors.map(|m| error_fields(&[m])[0].clone()).collect::<Vec<_>>()
     };
@@ -421,16 +421,16 @@
             .map(|n| {
                 let (program, front) = (&program, FRONTS[n as usize % 2]);
                 scope.spawn(move || {
-                    let mut raw = session(program, front);
-                    raw.send(&front.request(100 + n, "gone", 1));
+                    let mut client = session(program, front);
+                    client.send(&front.request(100 + n, "gone", 1));
                     let chunk = front.overflow(false);
                     let mut sent = 0;
-                    while sent < FLOOD_BYTES && raw.stream.write_all(&chunk).is_ok() {
+                    while sent < FLOOD_BYTES && client.stream.write_all(&chunk).is_ok() {
                         sent += chunk.len();
                     }
                     // The front continues to read and discard input after its final error, which a reset
                     // could destroy.
-                    let last = std::iter::from_fn(|| raw.message()).find(|m| m.0 == b'E');
+                    let last = std::iter::from_fn(|| client.message()).find(|m| m.0 == b'E');
                     error_fields(&[last.expect("a final error")])[0].clone()
                 })
             })
@@ -464,19 +464,19 @@
     let engine = start_engine();
     let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
     for front in FRONTS {
-        let mut raw = session(&program, front);
+        let mut client = session(&program, front);
         for n in 0..20 {
-            send_cancel_and_wait(&raw, front.address(&program));
-            raw.send(&front.request(n, "later", 1));
-            assert_eq!(rows(&raw.until_ready()), ["later|b|c"], "{front:?}");
+            send_cancel_and_wait(&client, front.address(&program));
+            client.send(&front.request(n, "later", 1));
+            assert_eq!(rows(&client.until_ready()), ["later|b|c"], "{front:?}");
         }
     }
 }
 
 /// Sends a CancelRequest and waits until the program has read it.
-fn send_cancel_and_wait(raw: &RawClient, to: SocketAddr) {
+fn send_cancel_and_wait(client: &RawClient, to: SocketAddr) {
     let mut cancel_connection = RawClient::open(to);
-    cancel_connection.send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &raw.key].concat());
+    cancel_connection.send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &client.key].concat());
     assert!(cancel_connection.message().is_none(), "a CancelRequest gets no answer");
 }
 
@@ -487,17 +487,17 @@
     let page = || "x\ty\tz\n".repeat(950);
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(|_| page()).collect()));
     let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
-    let mut raw = session(&program, Front::Second);
+    let mut client = session(&program, Front::Second);
     let sql = "/* kind=lane-rate,timeout=20000,ms=5 */ SELECT a FROM sales_17.orders";
     let batch = 400;
-    raw.send(&parse("", sql));
-    raw.send(&[bind("", "", &[]), execute("", 0)].concat().repeat(batch));
-    raw.send(&sync());
+    client.send(&parse("", sql));
+    client.send(&[bind("", "", &[]), execute("", 0)].concat().repeat(batch));
+    client.send(&sync());
     // A CancelRequest that arrived earlier would only cancel the open request, which this test does not
     // check.
     wait_until_blocked(&engine);
-    send_cancel_and_wait(&raw, Front::Second.address(&program));
-    let messages = raw.until_ready();
+    send_cancel_and_wait(&client, Front::Second.address(&program));
+    let messages = client.until_ready();
     let [code, message, ..] = error_fields(&messages);
     assert_eq!((code.as_str(), message.as_str()), ("57014", "canceled at the client's request"));
     let served_count = message_types(&messages).matches('C').count();
@@ -507,7 +507,7 @@
         started <= served_count + 1,
         "{started} requests started and {served_count} served; at most one may be cancelled"
     );
-    assert_eq!(message_types(&raw.ask("")), "IZ", "the session continues");
+    assert_eq!(message_types(&client.ask("")), "IZ", "the session continues");
 }
 
 /// A client shuts down its connection while its session is blocked writing an answer. Once the client has
@@ -518,21 +518,21 @@
     let page = || "x\ty\tz\n".repeat(950);
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(|_| page()).collect()));
     let program = start_program(&[("s-1", engine.address)], None, OPERATOR);
-    let mut raw = session(&program, Front::Second);
+    let mut client = session(&program, Front::Second);
     let sql = "/* kind=lane-rate,timeout=30000,ms=5 */ SELECT a FROM sales_17.orders";
-    raw.send(&parse("", sql));
-    raw.send(&[bind("", "", &[]), execute("", 0)].concat().repeat(400));
+    client.send(&parse("", sql));
+    client.send(&[bind("", "", &[]), execute("", 0)].concat().repeat(400));
     wait_until_blocked(&engine);
     let pipelined: Vec<u8> = (0..400).flat_map(|n| Front::Second.request(n, "pipelined", 2_000)).collect();
     assert!((600 << 10..1 << 20).contains(&pipelined.len()), "within the limit: {}", pipelined.len());
-    raw.send(&pipelined);
+    client.send(&pipelined);
     // Shut down, not closed: a close with an unread answer would send a reset, which is noticed in another
     // way.
-    raw.stream.shutdown(std::net::Shutdown::Write).expect("shut");
-    wait_until_all_read(&raw);
+    client.stream.shutdown(std::net::Shutdown::Write).expect("shut");
+    wait_until_all_read(&client);
     wait_until(|| (program_metric(&program, "outstanding") == 0).then_some(()));
     let started = engine.received("do").len();
-    let messages: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
+    let messages: Vec<Message> = std::iter::from_fn(|| client.message()).collect();
     assert_eq!(message_types(&messages).matches('E').count(), 0);
     assert!(started < 400, "{started} requests started");
     assert_eq!(engine.received("do").len(), started, "no request started after the client's end was read");
@@ -556,14 +556,14 @@
     let operator = r#"{"listen":"127.0.0.1:0","max_sessions":1,"default_tenant":"sud"}"#;
     let program = start_program(&[("s-1", engine.address)], None, operator);
     let to = Front::Second.address(&program);
-    let mut raw = session(&program, Front::Second);
-    raw.send(&Front::Second.request(1, "gone", 1));
+    let mut client = session(&program, Front::Second);
+    client.send(&Front::Second.request(1, "gone", 1));
     engine.wait_for("do", 1);
     let mut rejected = RawClient::open(to);
     rejected.send(&startup());
     assert_eq!(error_fields(&[rejected.message().expect("an error")])[0], "53300");
-    send_cancel_and_wait(&raw, to);
-    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
+    send_cancel_and_wait(&client, to);
+    assert_eq!(error_fields(&client.until_ready())[0], "57014");
     engine.wait_for("undo", 1);
 }
 
@@ -581,14 +581,18 @@
         let mut clients: Vec<(RawClient, RawClient)> =
             (0..16).map(|_| (session(&program, front), RawClient::open(front.address(&program)))).collect();
         signal(&program, "-STOP");
-        for (n, (raw, cancel_connection)) in clients.iter_mut().enumerate() {
-            raw.send(&front.request(n as u64, "gone", 1));
+        for (n, (client, cancel_connection)) in clients.iter_mut().enumerate() {
+            client.send(&front.request(n as u64, "gone", 1));
             cancel_connection
-                .send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &raw.key].concat());
+                .send(&[&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &client.key].concat());
         }
         signal(&program, "-CONT");
-        for (raw, _) in &mut clients {
-            assert_eq!(error_fields(&raw.until_ready())[1], "canceled at the client's request", "{front:?}");
+        for (client, _) in &mut clients {
+            assert_eq!(
+                error_fields(&client.until_ready())[1],
+                "canceled at the client's request",
+                "{front:?}"
+            );
         }
     }
 }
@@ -603,16 +607,20 @@
         let mut departed: Vec<RawClient> = (0..8).map(|_| session(&program, front)).collect();
         let mut other = session(&program, front);
         signal(&program, "-STOP");
-        for raw in &mut departed {
-            raw.send(&[query(""), front.request(1, "gone", 1), front.request(2, "gone", 1)].concat());
+        for client in &mut departed {
+            client.send(&[query(""), front.request(1, "gone", 1), front.request(2, "gone", 1)].concat());
         }
         // Shut down, not closed: a close with an unread answer would send a reset, which is noticed in
         // another way.
-        departed.iter().for_each(|raw| raw.stream.shutdown(std::net::Shutdown::Write).expect("shut"));
+        departed.iter().for_each(|client| client.stream.shutdown(std::net::Shutdown::Write).expect("shut"));
         signal(&program, "-CONT");
-        for raw in &mut departed {
-            assert_eq!(message_types(&raw.until_ready()), "IZ", "a message that needs no engine is answered");
-            let rest: Vec<Message> = std::iter::from_fn(|| raw.message()).collect();
+        for client in &mut departed {
+            assert_eq!(
+                message_types(&client.until_ready()),
+                "IZ",
+                "a message that needs no engine is answered"
+            );
+            let rest: Vec<Message> = std::iter::from_fn(|| client.message()).collect();
             // On the second front Parse and Bind, which are not requests, are still handled.
             assert_eq!(
                 message_types(&rest),
@@ -635,11 +643,11 @@
     let mut clients: Vec<RawClient> = (0..100).map(|_| RawClient::connect(program.platform)).collect();
     signal(&program, "-STOP");
     let malformed = [&[b'Q', 0xff, 0xff, 0xff, 0xff][..], &vec![b'x'; 90_000]].concat();
-    clients.iter_mut().for_each(|raw| raw.send(&malformed));
+    clients.iter_mut().for_each(|client| client.send(&malformed));
     signal(&program, "-CONT");
-    for (n, raw) in clients.iter_mut().enumerate() {
-        assert_eq!(error_fields(&[raw.message().expect("a final error")])[0], "08P01", "session {n}");
-        let end = raw.stream.read(&mut [0]).map_err(|e| e.kind());
+    for (n, client) in clients.iter_mut().enumerate() {
+        assert_eq!(error_fields(&[client.message().expect("a final error")])[0], "08P01", "session {n}");
+        let end = client.stream.read(&mut [0]).map_err(|e| e.kind());
         assert!(matches!(end, Ok(0)), "session {n}: {end:?}, {:?} is a reset", ErrorKind::ConnectionReset);
     }
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -24,17 +24,17 @@
     let inputs = [vec![], startup()[..9].to_vec(), startup(), [startup(), message[..20].to_vec()].concat()];
     let mut clients = Vec::new();
     for bytes in (0..count).flat_map(|_| &inputs) {
-        let mut raw = RawClient::open(to);
+        let mut client = RawClient::open(to);
         // A write error means that the connection has already been evicted.
-        let _ = std::io::Write::write_all(&mut raw.stream, bytes);
-        clients.push(raw);
+        let _ = std::io::Write::write_all(&mut client.stream, bytes);
+        clients.push(client);
     }
     clients
 }
 
 /// Sends a request and checks that it is answered with one row.
-fn check_served(raw: &mut RawClient, req: u64, text: &str) {
-    let answer = raw.ask(&sql(req, text));
+fn check_served(client: &mut RawClient, req: u64, text: &str) {
+    let answer = client.ask(&sql(req, text));
     assert!(
         message_types(&answer).starts_with('T') && rows(&answer).len() == 1,
         "request {req}: {:?}",
@@ -47,17 +47,17 @@
 fn open_busy_sessions(to: SocketAddr, max_sessions: usize) -> (Vec<(u64, RawClient)>, [String; 4]) {
     let mut busy = Vec::new();
     for id in (0..max_sessions as u64).map(|i| 1_000 + i) {
-        let mut raw = RawClient::open(to);
-        raw.send(&startup());
-        let first = raw.message().expect("an answer");
+        let mut client = RawClient::open(to);
+        client.send(&startup());
+        let first = client.message().expect("an answer");
         if first.0 == b'E' {
-            assert!(raw.message().is_none(), "the connection ends after a rejection");
+            assert!(client.message().is_none(), "the connection ends after a rejection");
             return (busy, error_fields(&[first]));
         }
-        let rest = raw.until_ready();
-        raw.key = rest.into_iter().find(|m| m.0 == b'K').expect("a key").1;
-        raw.send(&query(&sql(id, "hold")));
-        busy.push((id, raw));
+        let rest = client.until_ready();
+        client.key = rest.into_iter().find(|m| m.0 == b'K').expect("a key").1;
+        client.send(&query(&sql(id, "hold")));
+        busy.push((id, client));
     }
     panic!("none of {max_sessions} sessions was rejected");
 }
@@ -135,8 +135,8 @@
     wait_until(|| (descriptors(process) <= before + 3).then_some(()));
     let peak = watch.peak();
     let mut later_sessions: Vec<RawClient> = (0..5).map(|_| RawClient::connect(to)).collect();
-    for (i, raw) in later_sessions.iter_mut().enumerate() {
-        check_served(raw, 10 + i as u64, "c");
+    for (i, client) in later_sessions.iter_mut().enumerate() {
+        check_served(client, 10 + i as u64, "c");
     }
     let reports_shortage = |l: &&String| l.contains("accept failed") || l.contains("open files");
     assert_eq!(program.lines().iter().find(reports_shortage), None);
@@ -172,8 +172,8 @@
         idlers.extend(flood(to, 32));
         idlers.extend(flood(second, 32));
         idlers.extend((0..32).map(|_| RawClient::open(operators)));
-        let mut raw = RawClient::connect(to);
-        check_served(&mut raw, idlers.len() as u64, "a");
+        let mut client = RawClient::connect(to);
+        check_served(&mut client, idlers.len() as u64, "a");
         assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
     }
     let peak = watch.peak();
@@ -214,13 +214,13 @@
     let program = resource_limits::start(&config, Some(64), &[]);
     let mut served = RawClient::connect(program.platform);
     for i in 0..400 {
-        let mut raw = RawClient::open(program.platform);
+        let mut client = RawClient::open(program.platform);
         // Closing with unread input sends a reset; the other half of the connections end without having sent
         // anything.
         if i % 2 == 0 {
-            raw.send(&startup());
+            client.send(&startup());
         }
-        drop(raw);
+        drop(client);
         if i % 20 == 0 {
             check_served(&mut served, i + 1, "a");
         }
@@ -240,8 +240,8 @@
     let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
     let program = resource_limits::start(&config, Some(128), &["--operator", file.to_str().expect("text")]);
     let second = program.second.expect("on");
-    let mut raw = RawClient::connect(second);
-    raw.send(&query(&sql(1, "hold")));
+    let mut client = RawClient::connect(second);
+    client.send(&query(&sql(1, "hold")));
     engine.wait_for("do", 1);
     let mut silent = RawClient::open(second);
     for _ in 0..3 {
@@ -250,10 +250,10 @@
         assert_eq!(error_fields(&[newcomer.message().expect("an error")])[0], "53300");
         assert!(newcomer.message().is_none());
     }
-    raw.cancel(second);
-    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
+    client.cancel(second);
+    assert_eq!(error_fields(&client.until_ready())[0], "57014");
     assert_eq!(error_fields(&[silent.message().expect("an error")])[0], "53300");
     assert!(silent.message().is_none());
     // The first session stays although it has no request: idle sessions that hold state are not evicted.
-    assert_eq!(message_types(&raw.ask("")), "IZ");
+    assert_eq!(message_types(&client.ask("")), "IZ");
 }
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -18,7 +18,7 @@
     program.second.expect("the second front is on")
 }
 
-async fn client(program: &Program) -> tokio_postgres::Client {
+async fn connect_client(program: &Program) -> tokio_postgres::Client {
     let address = second_front(program);
     let config =
         format!("host={} port={} user=desk dbname=core sslmode=disable", address.ip(), address.port());
@@ -38,7 +38,7 @@
     let (first, second) = (Engine::echo(), Engine::echo());
     let program = start(&[&first, &second]);
     block_on(async {
-        let client = client(&program).await;
+        let client = connect_client(&program).await;
         let statement = client.prepare(LANE).await.expect("prepared");
         assert_eq!(statement.columns().len(), 3);
         for i in 0..1000 {
@@ -59,7 +59,7 @@
     let engine = Engine::echo();
     let program = start(&[&engine]);
     block_on(async {
-        let client = client(&program).await;
+        let client = connect_client(&program).await;
         use tokio_postgres::types::Type;
         let sql = "/* kind=lane-rate,timeout=$4 */ SELECT $1, $2, $3";
         let types = [Type::INT4, Type::BOOL, Type::FLOAT8, Type::TEXT];
@@ -73,13 +73,13 @@
     let wait: u64 = engine.received("do")[0].field("wait").expect("a wait").parse().expect("a number");
     assert!(wait <= 9000, "the deadline is the timeout that was bound as a parameter: {wait}");
     // The binary form of jsonb begins with a version byte, which is not supported.
-    let mut raw = RawClient::connect(second_front(&program));
+    let mut client = RawClient::connect(second_front(&program));
     let mut types = b"\0SELECT $1\0\0\x01".to_vec();
     types.extend_from_slice(&3802u32.to_be_bytes());
     let mut values = b"\0\0\0\x01\0\x01\0\x01".to_vec();
     values.extend_from_slice(&[0, 0, 0, 3, 1, b'{', b'}', 0, 0]);
-    raw.send(&[framed(b'P', &types), framed(b'B', &values), execute("", 0), sync()].concat());
-    let messages = raw.until_ready();
+    client.send(&[framed(b'P', &types), framed(b'B', &values), execute("", 0), sync()].concat());
+    let messages = client.until_ready();
     assert_eq!(message_types(&messages), "1EZ", "skips to Sync after the error");
     assert_eq!(error_fields(&messages)[0], "0A000");
 }
@@ -90,13 +90,13 @@
     let (old, new, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", old.address)], Some(&feed), Some(OPERATOR));
-    let mut raw = RawClient::connect(second_front(&program));
-    raw.send(&[parse("st", LANE), bind("po", "st", &["a"]), sync()].concat());
-    assert_eq!(message_types(&raw.until_ready()), "12Z");
+    let mut client = RawClient::connect(second_front(&program));
+    client.send(&[parse("st", LANE), bind("po", "st", &["a"]), sync()].concat());
+    assert_eq!(message_types(&client.until_ready()), "12Z");
     feed.send(list(2, false, &[("s-1", old.address, "draining"), ("s-2", new.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
-    raw.send(&[execute("po", 0), sync()].concat());
-    let messages = raw.until_ready();
+    client.send(&[execute("po", 0), sync()].concat());
+    let messages = client.until_ready();
     assert_eq!(message_types(&messages), "DCZ");
     assert_eq!((old.received("do").len(), new.received("do").len()), (0, 1));
 }
@@ -112,17 +112,17 @@
         .chain([sync()])
         .collect();
     for length in 0..=batch.len() {
-        let mut raw = RawClient::connect(second_front(&program));
+        let mut client = RawClient::connect(second_front(&program));
         let before = engine.received("do").len();
-        raw.send(&batch[..length].concat());
-        raw.send(&framed(b'H', b""));
+        client.send(&batch[..length].concat());
+        client.send(&framed(b'H', b""));
         let executes = length / 3;
         // Flush returns the answers: each submitted request is answered once.
         let mut answers = 0;
         while answers < executes {
-            answers += usize::from(raw.message().expect("an answer").0 == b'C');
+            answers += usize::from(client.message().expect("an answer").0 == b'C');
         }
-        drop(raw);
+        drop(client);
         let mut other = RawClient::connect(second_front(&program));
         assert_eq!(message_types(&other.ask("")), "IZ");
         assert_eq!(engine.received("do").len() - before, executes, "truncated after message {length}");
@@ -136,11 +136,11 @@
 fn batch_of_a_departed_client_is_cancelled() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
+    let mut client = RawClient::connect(second_front(&program));
     let request = [parse("", LANE), bind("", "", &["x"]), execute("", 0)].concat();
-    raw.send(&[&request[..], &request[..], &sync()].concat());
+    client.send(&[&request[..], &request[..], &sync()].concat());
     let sent = engine.wait_for("do", 1);
-    drop(raw);
+    drop(client);
     let undone = engine.wait_for("undo", 1);
     assert_eq!(undone[0].parts[1], sent[0].parts[1]);
     assert_eq!(engine.received("do").len(), 1, "the second Execute was never sent");
@@ -151,13 +151,13 @@
     let pages = || vec!["1\ta\tb\n2\ta\tb\n".into(), "3\ta\tb\n".into(), "4\ta\tb\n5\ta\tb\n".into()];
     let engine = Engine::start(move |_| Reply::Pages(pages()));
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
-    raw.send(&[parse("", LANE), bind("p", "", &["x"]), execute("p", 2), execute("p", 2), sync()].concat());
-    let messages = raw.until_ready();
+    let mut client = RawClient::connect(second_front(&program));
+    client.send(&[parse("", LANE), bind("p", "", &["x"]), execute("p", 2), execute("p", 2), sync()].concat());
+    let messages = client.until_ready();
     assert_eq!(message_types(&messages), "12DDsDDsZ");
     assert_eq!(rows(&messages), ["1|a|b", "2|a|b", "3|a|b", "4|a|b"]);
-    raw.send(&[execute("p", 0), execute("p", 0), sync()].concat());
-    let messages = raw.until_ready();
+    client.send(&[execute("p", 0), execute("p", 0), sync()].concat());
+    let messages = client.until_ready();
     assert_eq!((message_types(&messages).as_str(), rows(&messages)), ("DCCZ", vec!["5|a|b".to_owned()]));
     assert_eq!(engine.received("do").len(), 1, "fetching further rows is not another request");
 }
@@ -168,9 +168,9 @@
 fn engine_that_disconnects_within_its_answer_causes_a_retry() {
     let broken = Engine::start(|_| Reply::DisconnectMidAnswer("half\ta\tb\n".into()));
     let program = start(&[&broken]);
-    let mut raw = RawClient::connect(second_front(&program));
-    raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
-    let messages = raw.until_ready();
+    let mut client = RawClient::connect(second_front(&program));
+    client.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
+    let messages = client.until_ready();
     // The only engine never sends the second page: the request is retried within the retry budget, then
     // fails.
     assert_eq!(message_types(&messages), "12EZ");
@@ -194,9 +194,9 @@
         true => Reply::Pages(vec!["1\ta\tb\n".into(), "2\ta\tb\n".into()]),
     });
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
-    raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
-    let messages = raw.until_ready();
+    let mut client = RawClient::connect(second_front(&program));
+    client.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
+    let messages = client.until_ready();
     assert_eq!(
         (message_types(&messages).as_str(), rows(&messages)),
         ("12DDCZ", vec!["1|a|b".into(), "2|a|b".into()])
@@ -223,14 +223,14 @@
 fn cancel_request_cancels_the_open_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
-    raw.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
+    let mut client = RawClient::connect(second_front(&program));
+    client.send(&[parse("", LANE), bind("", "", &["x"]), execute("", 0), sync()].concat());
     let sent = engine.wait_for("do", 1);
-    raw.cancel(second_front(&program));
-    let messages = raw.until_ready();
+    client.cancel(second_front(&program));
+    let messages = client.until_ready();
     assert_eq!((message_types(&messages).as_str(), error_fields(&messages)[0].as_str()), ("12EZ", "57014"));
     assert_eq!(engine.wait_for("undo", 1)[0].parts[1], sent[0].parts[1]);
-    assert_eq!(message_types(&raw.ask("")), "IZ", "the session continues");
+    assert_eq!(message_types(&client.ask("")), "IZ", "the session continues");
 }
 
 /// The retry budget of each 5 s window, counted at the engines: 3 retries plus a tenth of the admitted
@@ -241,11 +241,11 @@
         (Engine::start(|_| Reply::Word("crashed")), Engine::start(|_| Reply::Word("crashed")));
     let program = start(&[&first, &second]);
     let (started_at, requests) = (Instant::now(), 60);
-    let mut raw = RawClient::connect(second_front(&program));
-    raw.send(&parse("st", &LANE.replace("kind=lane-rate", "kind=lane-rate,ms=5,timeout=200")));
+    let mut client = RawClient::connect(second_front(&program));
+    client.send(&parse("st", &LANE.replace("kind=lane-rate", "kind=lane-rate,ms=5,timeout=200")));
     for _ in 0..requests {
-        raw.send(&[bind("", "st", &["x"]), execute("", 0), sync()].concat());
-        let messages = raw.until_ready();
+        client.send(&[bind("", "st", &["x"]), execute("", 0), sync()].concat());
+        let messages = client.until_ready();
         assert_eq!(
             message_types(&messages).matches('E').count(),
             1,
@@ -267,22 +267,22 @@
 fn each_request_of_a_keyed_class_carries_its_own_key() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
-    let run = |raw: &mut RawClient, sql: &str, values: &[&str], times: usize| {
-        raw.send(&parse("", sql));
-        (0..times).for_each(|_| raw.send(&[bind("", "", values), execute("", 0)].concat()));
-        raw.send(&sync());
-        assert!(!message_types(&raw.until_ready()).contains('E'));
+    let mut client = RawClient::connect(second_front(&program));
+    let run = |client: &mut RawClient, sql: &str, values: &[&str], times: usize| {
+        client.send(&parse("", sql));
+        (0..times).for_each(|_| client.send(&[bind("", "", values), execute("", 0)].concat()));
+        client.send(&sync());
+        assert!(!message_types(&client.until_ready()).contains('E'));
     };
-    run(&mut raw, "/* kind=tariff-load */ INSERT INTO t_1.x VALUES ($1)", &["v"], 2);
-    run(&mut raw, "/* kind=tariff-load,opkey=$2 */ INSERT INTO t_1.x VALUES ($1)", &["v", "k-1"], 2);
-    run(&mut raw, "/* kind=tariff-load,opkey=k-2 */ INSERT INTO t_1.x VALUES ($1)", &["v"], 2);
+    run(&mut client, "/* kind=tariff-load */ INSERT INTO t_1.x VALUES ($1)", &["v"], 2);
+    run(&mut client, "/* kind=tariff-load,opkey=$2 */ INSERT INTO t_1.x VALUES ($1)", &["v", "k-1"], 2);
+    run(&mut client, "/* kind=tariff-load,opkey=k-2 */ INSERT INTO t_1.x VALUES ($1)", &["v"], 2);
     let keys: Vec<String> =
         engine.received("do").iter().map(|s| s.field("once").expect("a key").to_owned()).collect();
     assert_eq!(keys[2..5], ["k-1", "k-1", "k-2"]);
     assert_ne!(keys[0], keys[1], "each Execute has its own key");
     assert_ne!(keys[5], "k-2", "a key in the statement's text is used for one request only");
-    run(&mut raw, "/* kind=lane-rate */ SELECT 1 FROM t_1.x", &[], 1);
+    run(&mut client, "/* kind=lane-rate */ SELECT 1 FROM t_1.x", &[], 1);
     assert_eq!(engine.received("do")[6].field("once"), None);
 }
 
@@ -290,14 +290,14 @@
 fn timeout_is_taken_from_the_field_then_the_session_then_the_class() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
-    assert_eq!(message_types(&raw.ask("SET statement_timeout = '400ms'")), "CZ");
-    let messages = raw.ask("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b");
+    let mut client = RawClient::connect(second_front(&program));
+    assert_eq!(message_types(&client.ask("SET statement_timeout = '400ms'")), "CZ");
+    let messages = client.ask("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b");
     assert_eq!(error_fields(&messages)[0], "57014");
-    let messages = raw.ask("/* kind=lane-rate,ms=5,timeout=250 */ SELECT 1 FROM a_1.b");
+    let messages = client.ask("/* kind=lane-rate,ms=5,timeout=250 */ SELECT 1 FROM a_1.b");
     assert_eq!(error_fields(&messages)[0], "57014");
-    assert_eq!(message_types(&raw.ask("SET statement_timeout TO DEFAULT")), "CZ");
-    raw.send(&query("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b"));
+    assert_eq!(message_types(&client.ask("SET statement_timeout TO DEFAULT")), "CZ");
+    client.send(&query("/* kind=lane-rate,ms=5 */ SELECT 1 FROM a_1.b"));
     // The first attempt of each request: a request that its engine does not answer may be retried.
     let first_waits = || {
         let mut ids = BTreeSet::new();
@@ -315,31 +315,31 @@
 fn unsupported_statements_are_rejected_without_a_request_to_an_engine() {
     let engine = Engine::echo();
     let program = start(&[&engine]);
-    let mut raw = RawClient::connect(second_front(&program));
+    let mut client = RawClient::connect(second_front(&program));
     for sql in
         ["BEGIN", "COPY t FROM STDIN", "SET search_path = x", "SELECT 1; SELECT 2", "DECLARE c CURSOR FOR x"]
     {
-        assert_eq!(error_fields(&raw.ask(sql))[0], "0A000", "{sql}");
+        assert_eq!(error_fields(&client.ask(sql))[0], "0A000", "{sql}");
     }
     assert_eq!(
-        error_fields(&raw.ask("SELECT 1"))[0],
+        error_fields(&client.ask("SELECT 1"))[0],
         "08P01",
         "neither the statement nor the operator's file names a class"
     );
-    raw.send(&[bind("", "nil", &[]), parse("", "SELECT"), execute("", 0), sync()].concat());
-    let messages = raw.until_ready();
+    client.send(&[bind("", "nil", &[]), parse("", "SELECT"), execute("", 0), sync()].concat());
+    let messages = client.until_ready();
     assert_eq!(
         (message_types(&messages).as_str(), error_fields(&messages)[0].as_str()),
         ("EZ", "26000"),
         "skips to Sync"
     );
-    raw.send(&[execute("nil", 0), sync()].concat());
-    assert_eq!(error_fields(&raw.until_ready())[0], "34000");
-    raw.send(&[parse("a", LANE), bind("p", "a", &[]), sync()].concat());
-    let messages = raw.until_ready();
+    client.send(&[execute("nil", 0), sync()].concat());
+    assert_eq!(error_fields(&client.until_ready())[0], "34000");
+    client.send(&[parse("a", LANE), bind("p", "a", &[]), sync()].concat());
+    let messages = client.until_ready();
     assert!(error_fields(&messages)[1].contains("parameter count"), "{:?}", error_fields(&messages));
-    raw.send(&[parse("a", LANE), sync()].concat());
-    assert_eq!(error_fields(&raw.until_ready())[0], "42P05");
+    client.send(&[parse("a", LANE), sync()].concat());
+    assert_eq!(error_fields(&client.until_ready())[0], "42P05");
     assert!(engine.received("do").is_empty());
 }
 
@@ -353,16 +353,16 @@
     let mut gen = quickcheck::Gen::from_size_and_seed(40, 11);
     let mut bytes = move || <Vec<u8> as quickcheck::Arbitrary>::arbitrary(&mut gen);
     for i in 0..120 {
-        let mut raw = RawClient::open(second_front(&program));
+        let mut client = RawClient::open(second_front(&program));
         if i % 3 > 0 {
-            raw.send(&startup());
+            client.send(&startup());
         }
         for tag in bytes().into_iter().take(12) {
             // About half of the inputs are framed as messages of a known type; the others are sent unframed.
             let body = bytes();
             let known_type = b"QPBDECHSXFdcfp"[usize::from(tag) % 14];
             let input = if tag % 2 == 0 { framed(known_type, &body) } else { body };
-            if std::io::Write::write_all(&mut raw.stream, &input).is_err() {
+            if std::io::Write::write_all(&mut client.stream, &input).is_err() {
                 break;
             }
         }
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -75,10 +75,10 @@
     let send_requests = |first_id: u64, count: u64| {
         let threads = (0..SESSIONS).map(|s| {
             thread::spawn(move || {
-                let mut raw = RawClient::connect(to);
+                let mut client = RawClient::connect(to);
                 for k in 0..count {
                     let sql = support::timed_engine::lookup_sql((s << 40) + first_id + k, 5);
-                    assert_eq!(rows(&raw.ask(&sql)).len(), 1);
+                    assert_eq!(rows(&client.ask(&sql)).len(), 1);
                 }
             })
         });
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -23,11 +23,11 @@
     assert_eq!(call(admin, "GET", "/admin/health", "").0, 200);
     let names = ["results.lane-rate.succeeded", "results.tariff-load.declined", "forwards", "outstanding"];
     assert!(names.iter().all(|n| metric(admin, n) == 0), "counts start at 0");
-    let mut raw = RawClient::connect(program.platform);
-    (1..=7).for_each(|req| assert_eq!(rows(&raw.ask(&sql(req))).len(), 1));
+    let mut client = RawClient::connect(program.platform);
+    (1..=7).for_each(|req| assert_eq!(rows(&client.ask(&sql(req))).len(), 1));
     // A request that cannot be served in time is rejected at once.
     let heavy = sql(8).replace("ms=5", "ms=600000");
-    assert_eq!(error_fields(&raw.ask(&heavy))[0], "53400");
+    assert_eq!(error_fields(&client.ask(&heavy))[0], "53400");
     assert_eq!(metric(admin, "results.lane-rate.succeeded"), 7);
     assert_eq!(metric(admin, "results.lane-rate.declined"), 1);
     assert_eq!(metric(admin, "forwards"), 7);
@@ -45,7 +45,7 @@
     drop(other);
     wait_until(|| (metric(admin, "abandoned") == 1).then_some(()));
     // The engine fails each attempt; the class allows six.
-    assert_eq!(error_fields(&raw.ask(&sql(15)))[0].len(), 5);
+    assert_eq!(error_fields(&client.ask(&sql(15)))[0].len(), 5);
     let attempts = engine.received("do").len() as u64;
     assert_eq!(metric(admin, "forwards"), attempts);
     let failures = ["declined", "aborted"].map(|e| metric(admin, &format!("results.lane-rate.{e}")));
@@ -78,12 +78,12 @@
     // List events remove the engine and add it again, then a complete list follows.
     let (id, address) = ("s-1", cordoned.address);
     let events = [(false, "draining"), (false, "gone"), (false, "ready"), (true, "ready")];
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     let mut req = 0;
     let mut send_requests = |count: u64| {
         for _ in 0..count {
             req += 1;
-            assert_eq!(rows(&raw.ask(&sql(req))).len(), 1);
+            assert_eq!(rows(&client.ask(&sql(req))).len(), 1);
         }
     };
     for (i, (complete, phase)) in events.into_iter().enumerate() {
@@ -127,11 +127,11 @@
         stream
     };
     let mut held: Vec<TcpStream> = (0..48).map(open_malformed).collect();
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     let started_at = Instant::now();
     let mut slowest = Duration::ZERO;
     for req in 1..=100 {
-        assert_eq!(rows(&raw.ask(&sql(req))).len(), 1);
+        assert_eq!(rows(&client.ask(&sql(req))).len(), 1);
         let called_at = Instant::now();
         assert_eq!(call(admin, "GET", "/admin/health", "").0, 200);
         slowest = slowest.max(called_at.elapsed());
@@ -152,8 +152,8 @@
     let engine = Engine::echo();
     let mut program = Program::with_operators(&[("s-1", engine.address)], None, SETTINGS);
     let admin = program.operators.expect("an address");
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql(1))).len(), 1);
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql(1))).len(), 1);
     let before = resource_limits::descriptors(program.id());
     let inputs: [&[u8]; 5] = [
         b"",
@@ -169,7 +169,7 @@
         drop(caller);
         if req % 20 == 0 {
             assert_eq!(call(admin, "GET", "/admin/health", "").0, 200);
-            assert_eq!(rows(&raw.ask(&sql(req))).len(), 1);
+            assert_eq!(rows(&client.ask(&sql(req))).len(), 1);
         }
     }
     wait_until(|| (resource_limits::descriptors(program.id()) <= before + 1).then_some(()));
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -15,8 +15,8 @@
     let page = |n: usize| (0..40).map(|i| format!("{n}\t{i}\t'quoted' \u{e9}\n")).collect::<String>();
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(page).collect()));
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    let answer = raw.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
+    let mut client = RawClient::connect(program.platform);
+    let answer = client.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
     let expected: Vec<String> =
         (0..8).flat_map(|n| (0..40).map(move |i| format!("{n}|{i}|'quoted' \u{e9}"))).collect();
     assert_eq!(rows(&answer), expected);
@@ -37,20 +37,20 @@
 fn query_directly_after_the_startup_packet_is_answered() {
     let engine = Engine::echo();
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::open(program.platform);
+    let mut client = RawClient::open(program.platform);
     let encryption =
         [80_877_104u32, 80_877_103].map(|code| [8u32.to_be_bytes(), code.to_be_bytes()].concat());
     for packet in encryption {
-        raw.send(&packet);
+        client.send(&packet);
         let mut reply = [0];
-        std::io::Read::read_exact(&mut raw.stream, &mut reply).expect("an answer");
+        std::io::Read::read_exact(&mut client.stream, &mut reply).expect("an answer");
         assert_eq!(reply, *b"N");
     }
-    raw.send(&[startup(), query(""), query(" ;\n"), query(&sql("lane-rate", 1, ""))].concat());
-    assert!(message_types(&raw.until_ready()).starts_with("RS"));
-    assert_eq!(message_types(&raw.until_ready()), "IZ", "the platform's health check");
-    assert_eq!(message_types(&raw.until_ready()), "IZ");
-    assert_eq!(rows(&raw.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
+    client.send(&[startup(), query(""), query(" ;\n"), query(&sql("lane-rate", 1, ""))].concat());
+    assert!(message_types(&client.until_ready()).starts_with("RS"));
+    assert_eq!(message_types(&client.until_ready()), "IZ", "the platform's health check");
+    assert_eq!(message_types(&client.until_ready()), "IZ");
+    assert_eq!(rows(&client.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
 }
 
 /// Malformed input affects its own session only, and the error names the field.
@@ -115,9 +115,9 @@
 #[test]
 fn rejection_is_immediate_and_carries_retry_after() {
     let program = Program::start(&[], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     // Ten minutes of work with a deadline of twenty seconds cannot be served in time.
-    let answer = raw.ask(&sql("lane-rate", 1, ",ms=600000"));
+    let answer = client.ask(&sql("lane-rate", 1, ",ms=600000"));
     let [code, _, detail, hint] = error_fields(&answer);
     assert!(code.starts_with("53"), "{code}");
     let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("for programs").parse().expect("a number");
@@ -129,15 +129,15 @@
 fn cancel_or_disconnect_cancels_the_platform_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql("lane-rate", 1, "")));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
-    raw.cancel(program.platform);
-    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
+    client.cancel(program.platform);
+    assert_eq!(error_fields(&client.until_ready())[0], "57014");
     assert_eq!(engine.wait_for("undo", 1)[0].parts[1], format!("{:016x}", 1));
-    raw.send(&query(&sql("lane-rate", 2, "")));
+    client.send(&query(&sql("lane-rate", 2, "")));
     engine.wait_for("do", 2);
-    drop(raw);
+    drop(client);
     assert_eq!(engine.wait_for("undo", 2)[1].parts[1], format!("{:016x}", 2));
 }
 
@@ -153,8 +153,8 @@
         _ => Reply::Pages(vec![format!("{}\tb\tc\n", command.parts[1])]),
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 7, ""))), [format!("{:016x}|b|c", 7)]);
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 7, ""))), [format!("{:016x}|b|c", 7)]);
     assert_eq!(engine.received("do").len(), 4);
     program.wait_line("unreadable: field body");
 }
@@ -194,9 +194,9 @@
             malformed.map_or_else(|| Reply::Pages(vec!["good\tb\tc\n".into()]), |m| Reply::Raw(m.clone()))
         });
         let program = Program::start(&[("s-1", engine.address)], None, None);
-        let mut raw = RawClient::connect(program.platform);
+        let mut client = RawClient::connect(program.platform);
         for (id, text) in malformed.iter().enumerate() {
-            assert_eq!(rows(&raw.ask(&sql("lane-rate", id as u64, ""))), ["good|b|c"], "{text}");
+            assert_eq!(rows(&client.ask(&sql("lane-rate", id as u64, ""))), ["good|b|c"], "{text}");
         }
         let lines = program.lines();
         assert_eq!(lines.iter().filter(|l| l.contains("unreadable")).count(), malformed.len());
@@ -213,9 +213,9 @@
         Reply::Raw([unknown.as_str(), &valid, &valid, &unknown].concat())
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     for i in 1..30 {
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))), ["a|b|c"]);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", i, ""))), ["a|b|c"]);
     }
     assert_eq!(engine.received("do").len(), 29, "each request was sent once");
     assert_eq!(engine.received("page").len() + engine.received("forget").len(), 0);
@@ -232,8 +232,8 @@
     let (first, second, feed) = (Engine::echo(), Engine::echo(), Feed::start());
     feed.send(list(1, true, &[("s-1", first.address, "ready")]));
     let program = Program::start(&[("s-1", first.address)], Some(&feed), None);
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 1, ""))).len(), 1);
     feed.send(list(2, false, &[("s-2", second.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     feed.close_calls();
@@ -241,7 +241,7 @@
     feed.send(list(3, false, &[("s-1", first.address, "draining")]));
     program.wait_line("engine_id=s-1 phase=Draining");
     for i in 2..30 {
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))).len(), 1);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", i, ""))).len(), 1);
     }
     assert_eq!((first.received("do").len(), second.received("do").len()), (1, 28));
     let calls = feed.calls.lock().expect("unpoisoned").clone();
@@ -257,9 +257,9 @@
     let program = Program::start_limited(&[("s-1", engine.address)], None, None, 16, 96);
     let mut sessions: Vec<RawClient> = Vec::new();
     for id in 1..120 {
-        let mut raw = RawClient::connect(program.platform);
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
-        sessions.push(raw);
+        let mut client = RawClient::connect(program.platform);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
+        sessions.push(client);
     }
     assert!(sessions[0].message().is_none(), "the session idle for longest was evicted");
     sessions[118].ask(&sql("lane-rate", 119 + 1, ""));
@@ -267,8 +267,8 @@
     // Connections within their grace period are not evicted.
     std::thread::sleep(Duration::from_millis(100));
     for id in 200..240 {
-        let mut raw = RawClient::connect(program.platform);
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
+        let mut client = RawClient::connect(program.platform);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
     }
     drop(silent);
 }
@@ -284,12 +284,12 @@
     let mut partial_message = RawClient::connect(program.platform);
     partial_startup.send(&startup()[..9]);
     partial_message.send(&query(&sql("lane-rate", 1, ""))[..20]);
-    for (raw, name) in
+    for (client, name) in
         [(&mut silent, "start-up"), (&mut partial_startup, "start-up"), (&mut partial_message, "length")]
     {
-        let text = &error_fields(&[raw.message().expect("a final error")])[1];
+        let text = &error_fields(&[client.message().expect("a final error")])[1];
         assert!(text.contains(&format!("field {name}")), "{text}");
-        assert!(raw.message().is_none());
+        assert!(client.message().is_none());
     }
     assert!(started_at.elapsed() >= Duration::from_millis(1_500), "not before the timeout");
 }
@@ -298,13 +298,13 @@
 #[test]
 fn oversized_message_sender_receives_its_error() {
     let program = Program::start(&[], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     let mut message = vec![b'x'; 60 << 20];
     message[..5].copy_from_slice(&[b'Q', 0x03, 0x93, 0x87, 0x00]);
-    raw.send(&message);
+    client.send(&message);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(error_fields(&[raw.message().expect("a final error")])[1].contains("field length"));
-    assert!(raw.message().is_none());
+    assert!(error_fields(&[client.message().expect("a final error")])[1].contains("field length"));
+    assert!(client.message().is_none());
 }
 
 /// A damaged event must not be lost, since it may announce a drain: it is requested again. An event that
@@ -345,8 +345,8 @@
         feed.send("{\"n\":2}");
     }
     let mut program = Program::start(&[("s-1", engine.address)], Some(&old), None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql("lane-rate", 1, "")));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
     // A configuration that cannot be parsed changes nothing, and is logged.
     let config = program.config_with_feed(new.address);
@@ -364,7 +364,7 @@
     assert_eq!(old.calls.lock().expect("unpoisoned").len(), 1, "the old feed is not called again");
     wait_until(|| (old.open_calls() == 0).then_some(()));
     release.store(true, std::sync::atomic::Ordering::SeqCst);
-    assert_eq!(rows(&raw.until_ready()).len(), 1);
+    assert_eq!(rows(&client.until_ready()).len(), 1);
     assert!(program.running());
 }
 
@@ -374,11 +374,11 @@
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 1, ""))).len(), 1);
     feed.send(list(2, false, &[("s-1", engine.address, "gone"), ("s-9", engine.address, "ready")]));
     program.wait_line("engine_id=s-9 phase=Ready");
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 2, ""))).len(), 1);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 2, ""))).len(), 1);
 }
 
 /// After SIGTERM admitted requests are answered, requests that still arrive are served, and the exit status
@@ -464,19 +464,19 @@
 fn answered_request_is_not_sent_when_its_connection_opens_late() {
     let listener = DelayedListener::listen();
     let program = Program::start(&[("s-1", listener.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     // A request that the policy rejects.
     let short = sql("lane-rate", 1, "").replace("timeout=20000", "timeout=400");
-    assert_eq!(message_types(&raw.ask(&short)), "EZ", "no engine could answer it in time");
+    assert_eq!(message_types(&client.ask(&short)), "EZ", "no engine could answer it in time");
     // A request whose client leaves.
     let mut departed = RawClient::connect(program.platform);
     departed.send(&query(&sql("lane-rate", 2, "")));
     drop(departed);
     for _ in 0..3 {
-        assert_eq!(message_types(&raw.ask("")), "IZ", "the client's end has been read by then");
+        assert_eq!(message_types(&client.ask("")), "IZ", "the client's end has been read by then");
     }
     let engine = listener.open(|_| Reply::Hold);
-    raw.send(&query(&sql("lane-rate", 3, "")));
+    client.send(&query(&sql("lane-rate", 3, "")));
     // The requests share the connection: an earlier request would have arrived first.
     let commands = engine.wait_for("do", 1);
     assert_eq!(commands[0].parts[1], format!("{:016x}", 3), "{commands:?}");
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -95,8 +95,8 @@
         assert!(after < READY_TIMEOUT, "{after:?} with {args:?}");
         // Requests that wait for these engines do not delay a health check.
         let mut waiting: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
-        for (i, raw) in (1u64..).zip(&mut waiting) {
-            raw.send(&query(&format!(
+        for (i, client) in (1u64..).zip(&mut waiting) {
+            client.send(&query(&format!(
                 "/* kind=lane-rate,req={i:016x},timeout=20000,owner=sud,ms=5 */ SELECT a FROM b"
             )));
         }
@@ -142,7 +142,7 @@
         let mut clients: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
         program.kill();
         assert!(
-            clients.iter_mut().all(|raw| raw.message().is_none()),
+            clients.iter_mut().all(|client| client.message().is_none()),
             "the connection ends with the process"
         );
         let args = [OPTIONS[round % 2], &["--listen", listen.as_str()]].concat();
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -46,11 +46,11 @@
         for _ in 0..SESSIONS {
             let (queue, served, to) = (Arc::clone(&queue), Arc::clone(&served), program.platform);
             thread::spawn(move || {
-                let mut raw = RawClient::connect(to);
+                let mut client = RawClient::connect(to);
                 loop {
                     let next = queue.lock().expect("unpoisoned").recv();
                     let Ok((id, ms)) = next else { return };
-                    let answer = raw.ask(&lookup_sql(id, ms));
+                    let answer = client.ask(&lookup_sql(id, ms));
                     served.fetch_add(usize::from(!rows(&answer).is_empty()), Ordering::SeqCst);
                 }
             });
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -40,21 +40,21 @@
     let mut open: Vec<RawClient> = (0..8).map(|_| RawClient::connect(program.platform)).collect();
     assert!(open
         .iter_mut()
-        .all(|raw| rows(&raw.ask(&sql(next_id.fetch_add(1, Ordering::SeqCst), 1))).len() == 1));
+        .all(|client| rows(&client.ask(&sql(next_id.fetch_add(1, Ordering::SeqCst), 1))).len() == 1));
     let terminated_at = Instant::now();
     program.terminate();
     let (platform, next_id) = (program.platform, &next_id);
     let answered: Vec<(usize, Duration)> = thread::scope(|scope| {
-        let on_open = open.into_iter().zip(0u64..).map(|(mut raw, k)| {
+        let on_open = open.into_iter().zip(0u64..).map(|(mut client, k)| {
             scope.spawn(move || {
                 thread::sleep(Duration::from_millis(24 * k));
                 let (mut count, mut last) = (0, Duration::ZERO);
                 while terminated_at.elapsed() + SAFETY_MARGIN < LAST_REQUEST {
                     let id = next_id.fetch_add(1, Ordering::SeqCst);
-                    raw.send(&query(&sql(id, 200)));
+                    client.send(&query(&sql(id, 200)));
                     last = terminated_at.elapsed();
                     assert_eq!(
-                        rows(&raw.until_ready()).len(),
+                        rows(&client.until_ready()).len(),
                         1,
                         "request {id}, sent {last:?} after the signal"
                     );
@@ -70,11 +70,15 @@
                     return (0, Duration::ZERO);
                 }
                 let id = next_id.fetch_add(1, Ordering::SeqCst);
-                let mut raw = RawClient::open(platform);
-                raw.send(&[startup(), query(&sql(id, 200))].concat());
+                let mut client = RawClient::open(platform);
+                client.send(&[startup(), query(&sql(id, 200))].concat());
                 let last = terminated_at.elapsed();
-                raw.until_ready();
-                assert_eq!(rows(&raw.until_ready()).len(), 1, "connection opened {last:?} after the signal");
+                client.until_ready();
+                assert_eq!(
+                    rows(&client.until_ready()).len(),
+                    1,
+                    "connection opened {last:?} after the signal"
+                );
                 (1, last)
             })
         });
@@ -103,20 +107,20 @@
     thread::sleep(Duration::from_millis(200));
     signal(&program, "-STOP");
     let mut new: Vec<RawClient> = (0..4).map(|_| RawClient::open(program.platform)).collect();
-    for (i, raw) in new.iter_mut().enumerate() {
-        raw.send(&[startup(), query(&sql(1_000 + i as u64, 1))].concat());
+    for (i, client) in new.iter_mut().enumerate() {
+        client.send(&[startup(), query(&sql(1_000 + i as u64, 1))].concat());
     }
-    for (i, raw) in open.iter_mut().enumerate() {
-        raw.send(&query(&sql(1 + i as u64, 1)));
+    for (i, client) in open.iter_mut().enumerate() {
+        client.send(&query(&sql(1 + i as u64, 1)));
     }
     let sent_after = terminated_at.elapsed();
     thread::sleep(Duration::from_millis(1_000));
     signal(&program, "-CONT");
     // If the requests were sent too late on a slow machine, their answers are not checked.
     if sent_after + SAFETY_MARGIN < LAST_CONNECTION {
-        let answered: Vec<usize> = open.iter_mut().map(|raw| count_rows(raw, 1)).collect();
+        let answered: Vec<usize> = open.iter_mut().map(|client| count_rows(client, 1)).collect();
         assert_eq!(answered, vec![1; 16], "on connections that were open");
-        let answered: Vec<usize> = new.iter_mut().map(|raw| count_rows(raw, 2)).collect();
+        let answered: Vec<usize> = new.iter_mut().map(|client| count_rows(client, 2)).collect();
         assert_eq!(answered, vec![1; 4], "on new connections");
     } else {
         eprintln!("nothing checked: sent {sent_after:?} after the signal");
@@ -125,10 +129,10 @@
 }
 
 /// Number of rows read up to the `ready_count`th ReadyForQuery, or to the end of the connection.
-fn count_rows(raw: &mut RawClient, mut ready_count: usize) -> usize {
+fn count_rows(client: &mut RawClient, mut ready_count: usize) -> usize {
     let mut messages = Vec::new();
     while ready_count > 0 {
-        let Some(message) = raw.message() else { break };
+        let Some(message) = client.message() else { break };
         ready_count -= usize::from(message.0 == b'Z');
         messages.push(message);
     }
@@ -140,11 +144,11 @@
 fn stopped_with_one_in_flight() -> (TimedEngine, Program, RawClient) {
     let engine = TimedEngine::start();
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql(1, 1_500)));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql(1, 1_500)));
     wait_until(|| (engine.queries_in_flight() == 1).then_some(()));
     program.terminate();
-    (engine, program, raw)
+    (engine, program, client)
 }
 
 /// A session whose request is in flight when the program stops listening gets its complete answer, then the
@@ -152,11 +156,11 @@
 /// handles.
 #[test]
 fn session_ends_after_its_last_answer() {
-    let (engine, mut program, mut raw) = stopped_with_one_in_flight();
-    assert_eq!(rows(&raw.until_ready()).len(), 1);
+    let (engine, mut program, mut client) = stopped_with_one_in_flight();
+    assert_eq!(rows(&client.until_ready()).len(), 1);
     // An error means that the connection was closed before the write.
-    let _ = raw.stream.write_all(&query(&sql(2, 1)));
-    assert!(raw.message().is_none(), "nothing follows the last answer");
+    let _ = client.stream.write_all(&query(&sql(2, 1)));
+    assert!(client.message().is_none(), "nothing follows the last answer");
     assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(engine.served(), 1);
 }
@@ -167,12 +171,12 @@
 fn unfinishable_request_gets_an_error_before_the_kill() {
     let engine = Engine::start(|_| Reply::Hold);
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql(1, 1).replace("timeout=20000", "timeout=60000")));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql(1, 1).replace("timeout=20000", "timeout=60000")));
     engine.wait_for("do", 1);
     let terminated_at = Instant::now();
     program.terminate();
-    let answer = raw.until_ready();
+    let answer = client.until_ready();
     assert_eq!(error_fields(&answer)[0], "40003", "it may have run");
     let after = terminated_at.elapsed();
     assert_eq!(program.wait_for_exit(), Some(0));
@@ -187,14 +191,14 @@
 fn request_during_a_stop_gets_the_remaining_time() {
     let engine = Engine::start(|_| Reply::Hold);
     let mut program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     program.terminate();
     program.wait_line("stopping open_requests=");
-    raw.send(&query(&sql(1, 1)));
+    client.send(&query(&sql(1, 1)));
     let commands = engine.wait_for("do", 1);
     let wait: u64 = commands[0].field("wait").and_then(|w| w.parse().ok()).expect("a number");
     assert!(wait <= 3_450, "its engine gets a deadline of {wait} ms");
-    let answer = raw.until_ready();
+    let answer = client.until_ready();
     assert!(
         ["40003", "53000", "53400", "57014"].contains(&error_fields(&answer)[0].as_str()),
         "{:?}",
@@ -209,15 +213,15 @@
     let engine = Engine::start(|_| Reply::Hold);
     let feed = Feed::start();
     let mut program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql(1, 1)));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql(1, 1)));
     engine.wait_for("do", 1);
     program.terminate();
     program.wait_line("stopping open_requests=");
     for name in ["-TERM", "-HUP", "-INT", "-TERM"] {
         signal(&program, name);
     }
-    let answer = raw.until_ready();
+    let answer = client.until_ready();
     assert_eq!(error_fields(&answer)[0], "40003", "it may have run");
     assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(program.lines().iter().filter(|l| l.ends_with(" stopping open_requests=1")).count(), 1);
@@ -227,28 +231,28 @@
 /// input, it would be reset and the answer lost.
 #[test]
 fn last_answer_is_delivered_to_a_client_that_still_writes() {
-    let (engine, mut program, mut raw) = stopped_with_one_in_flight();
+    let (engine, mut program, mut client) = stopped_with_one_in_flight();
     // Waits until the complete answer has arrived, without reading it.
     let mut peeked = [0; 4096];
     wait_until(|| {
-        let n = raw.stream.peek(&mut peeked).expect("peeked");
+        let n = client.stream.peek(&mut peeked).expect("peeked");
         peeked[..n].windows(6).any(|w| w == b"Z\0\0\0\x05I").then_some(())
     });
     let (mut last_write, mut longest_gap) = (Instant::now(), Duration::ZERO);
     for n in 0..40 {
-        let written = raw.stream.write_all(&query(&sql(2 + n, 1)));
+        let written = client.stream.write_all(&query(&sql(2 + n, 1)));
         assert!(written.is_ok(), "write {n} failed by a reset: {written:?}");
         thread::sleep(Duration::from_millis(10));
         longest_gap = longest_gap.max(last_write.elapsed());
         last_write = Instant::now();
     }
     if longest_gap < Duration::from_millis(250) {
-        assert_eq!(rows(&raw.until_ready()).len(), 1);
-        assert!(raw.message().is_none(), "nothing follows the last answer");
+        assert_eq!(rows(&client.until_ready()).len(), 1);
+        assert!(client.message().is_none(), "nothing follows the last answer");
     } else {
         eprintln!("nothing checked: {longest_gap:?} between two writes");
     }
-    drop(raw);
+    drop(client);
     assert_eq!(program.wait_for_exit(), Some(0));
     assert_eq!(engine.served(), 1);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -607,11 +607,11 @@
     }
     /// Connects and starts a session.
     pub fn connect(to: SocketAddr) -> RawClient {
-        let mut raw = RawClient::open(to);
-        raw.send(&startup());
-        let start = raw.until_ready();
-        raw.key = start.into_iter().find(|m| m.0 == b'K').expect("a key").1;
-        raw
+        let mut client = RawClient::open(to);
+        client.send(&startup());
+        let start = client.until_ready();
+        client.key = start.into_iter().find(|m| m.0 == b'K').expect("a key").1;
+        client
     }
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -37,24 +37,24 @@
 }
 
 /// Whether the program has closed an idle connection.
-fn is_closed(raw: &RawClient) -> bool {
-    raw.stream.set_nonblocking(true).expect("set");
+fn is_closed(client: &RawClient) -> bool {
+    client.stream.set_nonblocking(true).expect("set");
     let is_closed =
-        !matches!(raw.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-    raw.stream.set_nonblocking(false).expect("set");
+        !matches!(client.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+    client.stream.set_nonblocking(false).expect("set");
     is_closed
 }
 
 /// Sends requests as the platform's clients do: one after the other on a connection that is kept for some
 /// time, and checked for a close before each request.
 fn run_client(to: SocketAddr, outcomes: &OutcomeCounts, next_id: &AtomicU64, stop: &AtomicBool) {
-    let mut raw: Option<RawClient> = None;
+    let mut client: Option<RawClient> = None;
     while !stop.load(Ordering::SeqCst) {
         let id = next_id.fetch_add(1, Ordering::SeqCst);
         let mut is_retry = false;
         loop {
-            raw = raw.take_if(|raw| !is_closed(raw));
-            let connection = raw.get_or_insert_with(|| RawClient::connect(to));
+            client = client.take_if(|client| !is_closed(client));
+            let connection = client.get_or_insert_with(|| RawClient::connect(to));
             let sent = std::io::Write::write_all(&mut connection.stream, &query(&sql(id, 10)));
             let mut messages = Vec::new();
             while sent.is_ok() {
@@ -77,7 +77,7 @@
                     );
                     is_retry = true;
                     outcomes.crossed_close.fetch_add(1, Ordering::SeqCst);
-                    raw = None;
+                    client = None;
                     continue;
                 }
             };
@@ -85,7 +85,7 @@
         }
         thread::sleep(Duration::from_millis(3 + id % 7));
         // Opens a new connection from time to time.
-        raw = raw.take_if(|_| !id.is_multiple_of(23));
+        client = client.take_if(|_| !id.is_multiple_of(23));
     }
 }
 
@@ -141,8 +141,8 @@
     let mut send_requests = |count: u64| {
         for _ in 0..count {
             next_id += 1;
-            let mut raw = RawClient::connect(to);
-            assert_eq!(rows(&raw.ask(&sql(next_id, 1))).len(), 1);
+            let mut client = RawClient::connect(to);
+            assert_eq!(rows(&client.ask(&sql(next_id, 1))).len(), 1);
         }
     };
     send_requests(30);
@@ -211,13 +211,13 @@
     let folder = scratch_dir();
     let mut first = Program::start_on_shared_listener(&listener, &folder, &engines);
     wait_until(|| is_healthy(&first).then_some(()));
-    let mut raw = RawClient::connect(to);
-    assert_eq!(rows(&raw.ask(&sql(1, 1))).len(), 1);
+    let mut client = RawClient::connect(to);
+    assert_eq!(rows(&client.ask(&sql(1, 1))).len(), 1);
     let successor = Program::start_on_shared_listener(&listener, &folder, &engines);
     wait_until(|| is_healthy(&successor).then_some(()));
     first.kill();
-    let mut raw = RawClient::connect(to);
-    assert_eq!(rows(&raw.ask(&sql(2, 1))).len(), 1);
+    let mut client = RawClient::connect(to);
+    assert_eq!(rows(&client.ask(&sql(2, 1))).len(), 1);
     successor.wait_line("hot restart process is unresponsive remaining_processes=0 ");
     assert!(successor
         .lines()
