--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -288,7 +288,7 @@
             match self.await_answer(&mut session, &request).await {
                 // The manager closed the idle session while the request was under way: it is sent once more,
                 // on a new connection.
-                Err(error) if is_end(&error) && sent_at.elapsed() < Duration::from_millis(100) => {
+                Err(error) if is_connection_end(&error) && sent_at.elapsed() < Duration::from_millis(100) => {
                     return self.retry(address, request).await;
                 }
                 result => {
@@ -371,10 +371,10 @@
         let request = Request::draw(&mut self.rng);
         let Ok(mut session) = Session::open(address, &request.message()).await else { return };
         self.request_sent(&request);
-        let stay = Duration::from_millis(self.rng.gen_range(0..400));
+        let time_until_close = Duration::from_millis(self.rng.gen_range(0..400));
         let is_reset = self.rng.gen_bool(0.3);
         // Input is read, so that closing the connection does not send a reset.
-        let _ = timeout(stay, async { while session.message().await.is_ok() {} }).await;
+        let _ = timeout(time_until_close, async { while session.message().await.is_ok() {} }).await;
         if is_reset {
             let _ = session.stream.set_zero_linger();
         }
@@ -420,7 +420,7 @@
 }
 
 /// Whether an error means that the connection ended without an answer.
-fn is_end(error: &io::Error) -> bool {
+fn is_connection_end(error: &io::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionReset, UnexpectedEof};
     matches!(error.kind(), UnexpectedEof | ConnectionReset | BrokenPipe)
 }
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -100,7 +100,7 @@
     /// For each manager, the index in `feeds` of the feed that its configuration names.
     active_feeds: Vec<usize>,
     engines: Vec<Engine>,
-    next_engine: usize,
+    started_engines: usize,
     /// Pending follow-ups with their due times.
     follow_ups: Vec<(Instant, FollowUp)>,
     /// Managers that got SIGTERM and are restarted when their processes have ended.
@@ -192,7 +192,7 @@
             feeds: Vec::new(),
             active_feeds: Vec::new(),
             engines: Vec::new(),
-            next_engine: 0,
+            started_engines: 0,
             follow_ups: Vec::new(),
             terminating: Vec::new(),
             burst_until: Instant::now(),
@@ -219,9 +219,9 @@
     }
 
     async fn start_engine(&mut self, accept_delay: Duration) -> io::Result<Engine> {
-        self.next_engine += 1;
-        let id = format!("s-{:06x}", self.next_engine);
-        let seed = self.config.seed.wrapping_mul(31).wrapping_add(self.next_engine as u64 * 1_000_000);
+        self.started_engines += 1;
+        let id = format!("s-{:06x}", self.started_engines);
+        let seed = self.config.seed.wrapping_mul(31).wrapping_add(self.started_engines as u64 * 1_000_000);
         Engine::start(&id, seed, &self.world, accept_delay).await
     }
 
--- a/tests/captures.rs
+++ b/tests/captures.rs
@@ -134,7 +134,7 @@
     let (config, recorder) = (dir.join("c.json"), dir.join("r.json5"));
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":1,"known":{{"n":1,"events":[{}]}},"settings":{BUSY}}}"#,
-        list(1, true, &[])
+        list_event(1, true, &[])
     );
     std::fs::write(&config, text).expect("written");
     let args = ["--config", config.to_str().expect("text"), "--recorder", recorder.to_str().expect("text")];
--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -32,7 +32,11 @@
 }
 
 fn secure(program: &Program, authority: &Authority) -> Tls {
-    authority.secure(RawClient::open(program.second.expect("on")).stream, NAME, &startup())
+    authority.secure(
+        RawClient::open(program.second.expect("the second front is on")).stream,
+        NAME,
+        &startup(),
+    )
 }
 
 fn ask(tls: &mut Tls) -> String {
@@ -81,8 +85,8 @@
     authority.set_rejects_orders(true);
     let mut without_certificate = start_program(&authority, challenges, None);
     wait_until(|| (authority.rejected_orders() >= 4).then_some(()));
-    assert!(without_certificate.running());
-    let mut client = RawClient::open(without_certificate.second.expect("on"));
+    assert!(without_certificate.is_running());
+    let mut client = RawClient::open(without_certificate.second.expect("the second front is on"));
     client.send(&startup());
     let message = client.message().expect("an answer");
     assert_eq!(error_fields(&[message])[0], "57P03", "there is no certificate yet");
@@ -97,7 +101,7 @@
     authority.set_rejects_orders(false);
     without_certificate.wait_line("certificate renewed");
     assert_eq!(ask(&mut secure(&without_certificate, &authority)), "IZ");
-    let mut plain = RawClient::open(without_certificate.second.expect("on"));
+    let mut plain = RawClient::open(without_certificate.second.expect("the second front is on"));
     plain.send(&startup());
     assert_eq!(error_fields(&[plain.message().expect("an answer")])[0], "28000", "sessions must use TLS");
     let _ = std::fs::remove_dir_all(store);
@@ -128,7 +132,7 @@
     // The program writes temporary files with these names; folders in their place make the writes fail, also
     // for root.
     let blocked = ["certificate.new", "account.new"].map(|name| store.join(name));
-    blocked.iter().for_each(|path| std::fs::create_dir(path).expect("made"));
+    blocked.iter().for_each(|path| std::fs::create_dir(path).expect("folder created"));
     let program = start_program(&authority, challenges, Some(&store));
     program.wait_line("certificate not saved");
     assert_eq!(ask(&mut secure(&program, &authority)), "IZ");
--- a/tests/challenges.rs
+++ b/tests/challenges.rs
@@ -64,7 +64,7 @@
     // An incomplete request whose sender shuts down its side.
     let mut incomplete = open(challenges);
     incomplete.write_all(&VALID_REQUEST[..40]).expect("written");
-    incomplete.shutdown(Shutdown::Write).expect("shut");
+    incomplete.shutdown(Shutdown::Write).expect("shut down");
     assert_eq!(incomplete.read(&mut [0; 16]).expect("an end"), 0);
     // An incomplete request whose sender stays connected: closed by the timeout.
     let (mut incomplete, started_at) = (open(challenges), Instant::now());
@@ -78,7 +78,7 @@
     let mut text = String::new();
     bytewise.read_to_string(&mut text).expect("an answer");
     assert!(not_found(&text), "{text}");
-    assert!(program.running());
+    assert!(program.is_running());
 }
 
 /// Under hundreds of silent connections, incomplete requests and early closes, valid requests are answered,
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -39,7 +39,7 @@
 fn sends_to_an_engine_started_before_a_step(ahead_ms: i64, settings: &str, wait: Duration) -> usize {
     let (old, new) = (Engine::echo(), Engine::echo());
     let feed = Feed::start();
-    feed.send(list(1, true, &[("s-1", old.address, "ready")]));
+    feed.send(list_event(1, true, &[("s-1", old.address, "ready")]));
     let fault_library = build_fault_library();
     let step = ClockStep { at_ms: monotonic_ms() + 1_500, ahead_ms };
     let vars = clock_step_variables(&fault_library, &[step]);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -212,7 +212,7 @@
         client.send(&front.request(1, "gone", 1));
         wait_until(|| (program_metric(&program, "outstanding") == 1).then_some(()));
         leave(&program, front, departure, client);
-        feed.send(list(2, false, &[("s-1", engine.address, "ready")]));
+        feed.send(list_event(2, false, &[("s-1", engine.address, "ready")]));
         program.wait_line("engine_id=s-1 phase=Ready");
         check_only_later_request_sent(front, departure, &engine, other, &[]);
     });
@@ -264,14 +264,14 @@
         first.wait_for("do", 1);
         client.send(&front.request(1, "gone", 1));
         first.wait_for("do", 2);
-        feed.send(list(2, false, &[("s-1", first.address, "draining")]));
+        feed.send(list_event(2, false, &[("s-1", first.address, "draining")]));
         program.wait_line("engine_id=s-1 phase=Draining");
         drained.store(true, Ordering::SeqCst);
         assert_eq!(rows(&marker.until_ready()), ["marker|b|c"]);
         assert_eq!(program_metric(&program, "outstanding"), 1, "the request waits for another attempt");
         leave(&program, front, departure, client);
         let before = first.received("do").len();
-        feed.send(list(3, false, &[("s-2", second.address, "ready")]));
+        feed.send(list_event(3, false, &[("s-2", second.address, "ready")]));
         program.wait_line("engine_id=s-2 phase=Ready");
         check_only_later_request_sent(front, departure, &second, other, &[]);
         assert_eq!(selected_columns(&first), ["marker", "gone"]);
@@ -321,7 +321,7 @@
 const NAME: &str = "pg.fret-atlas.test";
 
 fn secure(program: &Program, authority: &Authority) -> Tls {
-    let stream = RawClient::open(program.second.expect("on")).stream;
+    let stream = RawClient::open(program.second.expect("the second front is on")).stream;
     stream.set_write_timeout(Some(Duration::from_secs(20))).expect("set");
     authority.secure(stream, NAME, &startup())
 }
@@ -528,7 +528,7 @@
     client.send(&pipelined);
     // Shut down, not closed: a close with an unread answer would send a reset, which is noticed in another
     // way.
-    client.stream.shutdown(std::net::Shutdown::Write).expect("shut");
+    client.stream.shutdown(std::net::Shutdown::Write).expect("shut down");
     wait_until_all_read(&client);
     wait_until(|| (program_metric(&program, "outstanding") == 0).then_some(()));
     let started = engine.received("do").len();
@@ -612,7 +612,9 @@
         }
         // Shut down, not closed: a close with an unread answer would send a reset, which is noticed in
         // another way.
-        departed.iter().for_each(|client| client.stream.shutdown(std::net::Shutdown::Write).expect("shut"));
+        departed
+            .iter()
+            .for_each(|client| client.stream.shutdown(std::net::Shutdown::Write).expect("shut down"));
         signal(&program, "-CONT");
         for client in &mut departed {
             assert_eq!(
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -87,7 +87,7 @@
     let before = descriptors(process);
     let watch = DescriptorWatch::start(process);
 
-    let mut idlers = flood(to, limit / 2);
+    let mut idle_clients = flood(to, limit / 2);
     check_served(&mut early_session, 2, "a");
     // The engine closes its connection: the next request needs a new one.
     check_served(&mut early_session, 3, "cut");
@@ -105,7 +105,7 @@
     );
     assert!(!rejection[3].is_empty());
     assert!(busy.len() >= min_sessions, "only {} busy sessions were accepted", busy.len());
-    idlers.extend(flood(to, limit / 2));
+    idle_clients.extend(flood(to, limit / 2));
     assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
     // All slots are occupied, and silent new connections are waiting: a CancelRequest is accepted.
     let held = first_engine.wait_for("do", 4).into_iter().find(|c| c.parts[3].contains("hold"));
@@ -119,9 +119,9 @@
 
     // The feed is reachable again. It adds an engine and drains the first one.
     feed_proxy.set(FeedProxyMode::Up);
-    feed.send(list(1, true, &[("s-1", first_engine.address, "ready")]));
+    feed.send(list_event(1, true, &[("s-1", first_engine.address, "ready")]));
     let engines = [("s-2", second_engine.address, "ready"), ("s-1", first_engine.address, "draining")];
-    feed.send(list(2, false, &engines));
+    feed.send(list_event(2, false, &engines));
     program.wait_line("engine_id=s-2 phase=Ready");
     program.wait_line("engine_id=s-1 phase=Draining");
     let mut newcomer = RawClient::connect(to);
@@ -131,7 +131,7 @@
     assert_eq!(served.iter().filter(|c| c.parts[3].contains("SELECT b")).count(), 1);
 
     // After all clients have left, the descriptors are free again.
-    drop((idlers, busy, newcomer));
+    drop((idle_clients, busy, newcomer));
     wait_until(|| (descriptors(process) <= before + 3).then_some(()));
     let peak = watch.peak();
     let mut later_sessions: Vec<RawClient> = (0..5).map(|_| RawClient::connect(to)).collect();
@@ -140,7 +140,7 @@
     }
     let reports_shortage = |l: &&String| l.contains("accept failed") || l.contains("open files");
     assert_eq!(program.lines().iter().find(reports_shortage), None);
-    assert!(program.running() && peak <= limit, "{peak} of {limit}");
+    assert!(program.is_running() && peak <= limit, "{peak} of {limit}");
     eprintln!("limit {limit}: {before} descriptors before, {peak} at most");
 }
 
@@ -164,16 +164,16 @@
     std::fs::write(&file, second).expect("written");
     let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
     let program = resource_limits::start(&config, None, &["--operator", file.to_str().expect("text")]);
-    let (to, second) = (program.platform, program.second.expect("on"));
+    let (to, second) = (program.platform, program.second.expect("the second front is on"));
     let operators = program.operators.expect("an address");
     let watch = DescriptorWatch::start(program.id());
-    let mut idlers = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..4 {
-        idlers.extend(flood(to, 32));
-        idlers.extend(flood(second, 32));
-        idlers.extend((0..32).map(|_| RawClient::open(operators)));
+        idle_clients.extend(flood(to, 32));
+        idle_clients.extend(flood(second, 32));
+        idle_clients.extend((0..32).map(|_| RawClient::open(operators)));
         let mut client = RawClient::connect(to);
-        check_served(&mut client, idlers.len() as u64, "a");
+        check_served(&mut client, idle_clients.len() as u64, "a");
         assert_eq!(call(operators, "GET", "/admin/health", "").0, 200);
     }
     let peak = watch.peak();
@@ -190,17 +190,17 @@
     let mut program = resource_limits::start(&config, Some(64), &[]);
     let mut served = RawClient::connect(program.platform);
     check_served(&mut served, 1, "a");
-    let idlers: Vec<RawClient> = (0..200).map(|_| RawClient::open(program.platform)).collect();
+    let idle_clients: Vec<RawClient> = (0..200).map(|_| RawClient::open(program.platform)).collect();
     program.wait_line("accept failed");
     // After tens of failed accepts the new connections have been evicted, and their descriptors are free.
     std::thread::sleep(Duration::from_millis(500));
     check_served(&mut served, 2, "a");
     let mut newcomer = RawClient::connect(program.platform);
     check_served(&mut newcomer, 3, "a");
-    drop(idlers);
+    drop(idle_clients);
     wait_until(|| (descriptors(program.id()) < 40).then_some(()));
     check_served(&mut RawClient::connect(program.platform), 4, "a");
-    assert!(program.running());
+    assert!(program.is_running());
     // About fifty accepts per second fail, and one failure per five seconds is logged.
     let lines = program.lines().iter().filter(|l| l.contains("accept failed")).count();
     assert!((1..=15).contains(&lines), "{lines} lines");
@@ -239,7 +239,7 @@
         .expect("written");
     let config = resource_limits::config(&[("s-1", engine.address)], None, 128, SETTINGS);
     let program = resource_limits::start(&config, Some(128), &["--operator", file.to_str().expect("text")]);
-    let second = program.second.expect("on");
+    let second = program.second.expect("the second front is on");
     let mut client = RawClient::connect(second);
     client.send(&query(&sql(1, "hold")));
     engine.wait_for("do", 1);
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -93,7 +93,7 @@
     let mut client = RawClient::connect(second_front(&program));
     client.send(&[parse("st", LANE), bind("po", "st", &["a"]), sync()].concat());
     assert_eq!(message_types(&client.until_ready()), "12Z");
-    feed.send(list(2, false, &[("s-1", old.address, "draining"), ("s-2", new.address, "ready")]));
+    feed.send(list_event(2, false, &[("s-1", old.address, "draining"), ("s-2", new.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     client.send(&[execute("po", 0), sync()].concat());
     let messages = client.until_ready();
@@ -375,5 +375,5 @@
         ("12DC3EZ", "34000"),
         "closing a statement closes its portals"
     );
-    assert!(program.running() && !program.lines().iter().any(|l| l.contains("panicked")));
+    assert!(program.is_running() && !program.lines().iter().any(|l| l.contains("panicked")));
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -70,7 +70,7 @@
     let engine = Engine::echo();
     let dir = scratch_dir();
     let address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
-    let known = list(1, true, &[("s-1", engine.address, "ready")]);
+    let known = list_event(1, true, &[("s-1", engine.address, "ready")]);
     let config = format!(
         r#"{{"name":"n0","listen":"{address}","seed":"00000000000000aa","limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},
          "known":{{"n":1,"events":[{known}]}},"settings":{SETTINGS}}}"#
--- a/tests/feeds.rs
+++ b/tests/feeds.rs
@@ -84,7 +84,7 @@
 
 fn event(n: usize) -> String {
     let address = "127.0.0.1:9".parse().expect("an address");
-    format!("id: {n}\ndata: {}\n\n", list(n, false, &[(&format!("s-{n}"), address, "ready")]))
+    format!("id: {n}\ndata: {}\n\n", list_event(n, false, &[(&format!("s-{n}"), address, "ready")]))
 }
 
 const PLAIN: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -64,12 +64,13 @@
             "{{ fault: {{ from: 'a', to: 'b', rule: {{ partition: {p} }} }} }} }}, {{ at: AT, do: {{ fault: {{ from: 'b', to: 'a', rule: {{ partition: {p} }} }} }}"
         )
     };
-    let (cut, heal) = (partition(true).replace("AT", "4"), partition(false).replace("AT", "14"));
+    let (start_partition, end_partition) =
+        (partition(true).replace("AT", "4"), partition(false).replace("AT", "14"));
     let outcome = play(
         "view-part",
         &format!(
             "{{ managers: 6, groups: [0.667, 0.333], seconds: 26, load: {{ rate: 20 }}, engines: {{ count: 2 }},
-                membership: {{ {FAST} }}, steps: [ {{ at: 4, do: {cut} }}, {{ at: 14, do: {heal} }} ] }}"
+                membership: {{ {FAST} }}, steps: [ {{ at: 4, do: {start_partition} }}, {{ at: 14, do: {end_partition} }} ] }}"
         ),
     );
     assert!(outcome.agreed(0.0, 4.0).is_some(), "all managers agree on one view");
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -66,7 +66,7 @@
         ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
     let feed = Feed::start();
     let listed: Vec<_> = engines_by_id.iter().map(|(id, address)| (*id, *address, "ready")).collect();
-    feed.send(list(1, true, &listed));
+    feed.send(list_event(1, true, &listed));
     let mut program = Program::launch(&engines_by_id, Some(&feed), None, (32, 1024), BUSY, &[]);
     wait_until(|| (feed.open_calls() > 0).then_some(()));
     thread::sleep(Duration::from_millis(300));
@@ -88,8 +88,8 @@
     let before_requests = processor_time(&program);
     send_requests(1_000, REQUESTS);
     let before_events = processor_time(&program);
-    (0..EVENTS).for_each(|n| feed.send(list(n + 2, false, &listed[..1])));
-    feed.send(list(EVENTS + 2, false, &[("s-last", engines[0].address, "ready")]));
+    (0..EVENTS).for_each(|n| feed.send(list_event(n + 2, false, &listed[..1])));
+    feed.send(list_event(EVENTS + 2, false, &[("s-last", engines[0].address, "ready")]));
     program.wait_line("engine_id=s-last phase=Ready");
     let after_events = processor_time(&program);
     let end = [memory(&program, "VmRSS"), memory(&program, "RssAnon"), memory(&program, "VmHWM")];
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -88,7 +88,7 @@
     };
     for (i, (complete, phase)) in events.into_iter().enumerate() {
         let listed = [(id, address, phase), ("s-2", other.address, "ready")];
-        feed.send(list(i + 2, complete, &listed[..1 + usize::from(complete)]));
+        feed.send(list_event(i + 2, complete, &listed[..1 + usize::from(complete)]));
         let expected = format!("engine_id=s-1 phase={}", phase[..1].to_uppercase() + &phase[1..]);
         program.wait_line(&expected);
         send_requests(20);
@@ -174,5 +174,5 @@
     }
     wait_until(|| (resource_limits::descriptors(program.id()) <= before + 1).then_some(()));
     assert_eq!(call(admin, "GET", "/admin/health", "").0, 200);
-    assert!(program.running());
+    assert!(program.is_running());
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -108,7 +108,7 @@
     let reused_id = session.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
     assert_eq!(error_fields(&reused_id)[0], "42710");
     assert_eq!(engine.received("do").len(), 1, "no malformed request was forwarded");
-    assert!(program.running());
+    assert!(program.is_running());
 }
 
 /// A rejected request is answered at once with a retry delay.
@@ -120,7 +120,7 @@
     let answer = client.ask(&sql("lane-rate", 1, ",ms=600000"));
     let [code, _, detail, hint] = error_fields(&answer);
     assert!(code.starts_with("53"), "{code}");
-    let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("for programs").parse().expect("a number");
+    let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("a retry delay").parse().expect("a number");
     assert!((1..=2_000).contains(&ms), "within limits.maxRetryAfter: {ms}");
     assert_eq!(hint, format!("Come back in {ms} ms."));
 }
@@ -230,15 +230,15 @@
 #[test]
 fn feed_is_resumed_after_a_disconnect() {
     let (first, second, feed) = (Engine::echo(), Engine::echo(), Feed::start());
-    feed.send(list(1, true, &[("s-1", first.address, "ready")]));
+    feed.send(list_event(1, true, &[("s-1", first.address, "ready")]));
     let program = Program::start(&[("s-1", first.address)], Some(&feed), None);
     let mut client = RawClient::connect(program.platform);
     assert_eq!(rows(&client.ask(&sql("lane-rate", 1, ""))).len(), 1);
-    feed.send(list(2, false, &[("s-2", second.address, "ready")]));
+    feed.send(list_event(2, false, &[("s-2", second.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     feed.close_calls();
     wait_until(|| (feed.calls.lock().expect("unpoisoned").len() >= 2).then_some(()));
-    feed.send(list(3, false, &[("s-1", first.address, "draining")]));
+    feed.send(list_event(3, false, &[("s-1", first.address, "draining")]));
     program.wait_line("engine_id=s-1 phase=Draining");
     for i in 2..30 {
         assert_eq!(rows(&client.ask(&sql("lane-rate", i, ""))).len(), 1);
@@ -312,15 +312,15 @@
 #[test]
 fn unreadable_event_is_requested_again_and_finally_skipped() {
     let (engine, feed) = (Engine::echo(), Feed::start());
-    feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
-    let drain = list(2, false, &[("s-1", engine.address, "draining")]);
+    feed.send(list_event(1, true, &[("s-1", engine.address, "ready")]));
+    let drain = list_event(2, false, &[("s-1", engine.address, "draining")]);
     feed.send_malformed_once(&drain, &drain[..drain.len() / 2]);
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
     program.wait_line("an event could not be read");
     program.wait_line("engine_id=s-1 phase=Draining");
     feed.send("{\"n\":3,\"members\":7}");
     program.wait_line("feed event skipped");
-    feed.send(list(4, false, &[("s-2", engine.address, "ready")]));
+    feed.send(list_event(4, false, &[("s-2", engine.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     let calls = feed.calls.lock().expect("unpoisoned").clone();
     let calls_after = |n: u64| calls.iter().filter(|c| **c == n).count();
@@ -341,7 +341,7 @@
     });
     let (old, new) = (Feed::start(), Feed::start());
     for feed in [&old, &new] {
-        feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
+        feed.send(list_event(1, true, &[("s-1", engine.address, "ready")]));
         feed.send("{\"n\":2}");
     }
     let mut program = Program::start(&[("s-1", engine.address)], Some(&old), None);
@@ -354,7 +354,7 @@
     program.wait_line("configuration not reloaded");
     program.reload(&config);
     program.wait_line("configuration reloaded");
-    new.send(list(3, false, &[("s-2", engine.address, "ready")]));
+    new.send(list_event(3, false, &[("s-2", engine.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     assert_eq!(
         new.calls.lock().expect("unpoisoned")[0],
@@ -365,7 +365,7 @@
     wait_until(|| (old.open_calls() == 0).then_some(()));
     release.store(true, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(rows(&client.until_ready()).len(), 1);
-    assert!(program.running());
+    assert!(program.is_running());
 }
 
 /// When an address is reused, requests for the new engine are not sent on connections to the old one.
@@ -376,7 +376,7 @@
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
     let mut client = RawClient::connect(program.platform);
     assert_eq!(rows(&client.ask(&sql("lane-rate", 1, ""))).len(), 1);
-    feed.send(list(2, false, &[("s-1", engine.address, "gone"), ("s-9", engine.address, "ready")]));
+    feed.send(list_event(2, false, &[("s-1", engine.address, "gone"), ("s-9", engine.address, "ready")]));
     program.wait_line("engine_id=s-9 phase=Ready");
     assert_eq!(rows(&client.ask(&sql("lane-rate", 2, ""))).len(), 1);
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -37,7 +37,7 @@
 fn check_ready_and(config: &str, mut check_running: impl FnMut()) {
     for args in OPTIONS {
         let (mut program, after) = start(config, args);
-        assert!(after < READY_TIMEOUT && program.running(), "{after:?} with {args:?}");
+        assert!(after < READY_TIMEOUT && program.is_running(), "{after:?} with {args:?}");
         eprintln!("ready after {after:?} with {args:?}");
         check_running();
     }
@@ -125,7 +125,7 @@
         });
         times.sort_by_key(|t| t.1);
         assert!(times[26].1 < READY_TIMEOUT, "the 27th of 30 took {:?} with {args:?}", times[26].1);
-        assert!(times.iter_mut().all(|t| t.0.running()));
+        assert!(times.iter_mut().all(|t| t.0.is_running()));
         eprintln!("30 at once: the 27th ready after {:?}, the last after {:?}", times[26].1, times[29].1);
     }
 }
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -38,7 +38,7 @@
             ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
         let feed = Feed::start();
         let ready: Vec<_> = engines_by_id.iter().map(|(id, address)| (*id, *address, "ready")).collect();
-        feed.send(list(1, true, &ready));
+        feed.send(list_event(1, true, &ready));
         let args = ["--capture", dir.to_str().expect("text")];
         let program = Program::launch(&engines_by_id, Some(&feed), None, (192, 1024), BUSY, &args);
         let (requests, queue) = sync_channel::<(u64, u64)>(10_000);
@@ -120,7 +120,7 @@
     run.load(90, 4.0);
     let address = run.engines[2].address;
     run.print_moment("engine s-3 drains");
-    run.feed.send(list(2, false, &[("s-3", address, "draining")]));
+    run.feed.send(list_event(2, false, &[("s-3", address, "draining")]));
     run.program.wait_line("engine_id=s-3 phase=Draining");
     let drained_at = Instant::now();
     run.load(90, 0.46);
@@ -147,7 +147,7 @@
     run.print_moment("engine s-1 dies");
     run.engines[0].crash();
     run.load(100, 1.0);
-    run.feed.send(list(2, false, &[("s-1", run.engines[0].address, "gone")]));
+    run.feed.send(list_event(2, false, &[("s-1", run.engines[0].address, "gone")]));
     run.load(100, 4.0);
     run.end();
 }
--- a/tests/support/authority.rs
+++ b/tests/support/authority.rs
@@ -184,9 +184,9 @@
             (200, None, directory)
         }
         (_, "/nonce") => (200, None, Value::Null),
-        ("POST", path) => handle_signed(shared, path, &body).unwrap_or_else(|(kind, why)| {
-            shared.state.lock().expect("unpoisoned").faults.push(why.clone());
-            (400, None, json!({"type": format!("urn:ietf:params:acme:error:{kind}"), "detail": why}))
+        ("POST", path) => handle_signed(shared, path, &body).unwrap_or_else(|(kind, detail)| {
+            shared.state.lock().expect("unpoisoned").faults.push(detail.clone());
+            (400, None, json!({"type": format!("urn:ietf:params:acme:error:{kind}"), "detail": detail}))
         }),
         _ => (404, None, Value::Null),
     };
@@ -223,7 +223,7 @@
 /// type and a detail text.
 #[expect(clippy::too_many_lines, reason = "a stand-in answers each step of its protocol in one place")]
 fn handle_signed(shared: &Shared, path: &str, body: &[u8]) -> Result<Reply, (&'static str, String)> {
-    let problem = |kind: &'static str, why: &str| (kind, why.to_owned());
+    let problem = |kind: &'static str, detail: &str| (kind, detail.to_owned());
     let jws: Value =
         serde_json::from_slice(body).map_err(|_| problem("malformed", "the body is not JSON"))?;
     let head: Value = serde_json::from_slice(&decoded(&jws["protected"])?)
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -59,11 +59,11 @@
 
 impl Engine {
     pub fn start(reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static) -> Engine {
-        Engine::on_listener(TcpListener::bind("127.0.0.1:0").expect("a port"), reply)
+        Engine::start_on_listener(TcpListener::bind("127.0.0.1:0").expect("a port"), reply)
     }
 
     /// Starts an engine on an existing listener.
-    fn on_listener(
+    fn start_on_listener(
         listener: TcpListener,
         reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static,
     ) -> Engine {
@@ -130,7 +130,7 @@
 
     /// Starts an engine that accepts the waiting connections.
     pub fn open(self, reply: impl Fn(&ReceivedCommand) -> Reply + Send + Sync + 'static) -> Engine {
-        Engine::on_listener(self.listener, reply)
+        Engine::start_on_listener(self.listener, reply)
     }
 }
 
@@ -299,7 +299,7 @@
 
 /// Data of an endpoint list event: `n` is both the event's number and the list's revision; each engine is
 /// given by id, address and phase.
-pub fn list(n: usize, complete: bool, engines: &[(&str, SocketAddr, &str)]) -> String {
+pub fn list_event(n: usize, complete: bool, engines: &[(&str, SocketAddr, &str)]) -> String {
     let row = |(id, address, phase): &(&str, SocketAddr, &str)| {
         format!(
             r#"{{"id":"{id}","host_port":"{address}","locality":"hall-a","flavor":"std","cell":0,"phase":"{phase}","size":1,"up_since_ms":0}}"#
@@ -422,7 +422,7 @@
             r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"00000000000000aa",{feed}
              "limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{sockets}}},
              "known":{{"n":1,"events":[{}]}},"settings":{settings}}}"#,
-            list(1, true, &ready)
+            list_event(1, true, &ready)
         );
         std::fs::write(dir.join("config.json"), config).expect("written");
         let mut command = Command::new(program_path());
@@ -523,7 +523,7 @@
         wait_until(|| self.child.try_wait().expect("waited")).code()
     }
 
-    pub fn running(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("waited").is_none()
     }
 }
--- a/tests/support/resource_limits.rs
+++ b/tests/support/resource_limits.rs
@@ -20,7 +20,7 @@
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"00000000000000aa",{feed}
          "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
          "known":{{"n":1,"events":[{}]}},"settings":{settings}}}"#,
-        list(1, true, &ready)
+        list_event(1, true, &ready)
     )
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -197,7 +197,7 @@
         wait_for_served(100);
         stop.store(true, Ordering::SeqCst);
     });
-    assert!(first.running() && is_healthy(&first));
+    assert!(first.is_running() && is_healthy(&first));
     first.terminate();
     assert_eq!(first.wait_for_exit(), Some(0));
 }
--- a/tests/watches.rs
+++ b/tests/watches.rs
@@ -77,7 +77,7 @@
 
 /// An event that lists one engine at an unreachable address.
 fn engine_event(n: usize, id: &str, phase: &str) -> String {
-    event(n, &list(n, false, &[(id, unreachable_address(), phase)]))
+    event(n, &list_event(n, false, &[(id, unreachable_address(), phase)]))
 }
 
 /// Starts the program with engine `s-1`, listed by event 1 of its configuration, and with this feed.
@@ -149,11 +149,14 @@
     program.wait_line("engine_id=s-2 phase=Ready");
     drop(first);
     // The complete list is event 1, with a revision after that of event 40; event 2 follows it.
-    let complete =
-        list(41, true, &[("s-2", unreachable_address(), "ready"), ("s-3", unreachable_address(), "ready")]);
+    let complete = list_event(
+        41,
+        true,
+        &[("s-2", unreachable_address(), "ready"), ("s-3", unreachable_address(), "ready")],
+    );
     let (last_event, second) = feed.answer(
         [event(1, &complete.replace("{\"n\":41", "{\"n\":1")), {
-            let drain = list(42, false, &[("s-2", unreachable_address(), "draining")]);
+            let drain = list_event(42, false, &[("s-2", unreachable_address(), "draining")]);
             event(2, &drain.replace("{\"n\":42", "{\"n\":2"))
         }]
         .concat(),
@@ -178,7 +181,7 @@
 fn late_event_applies_where_no_later_one_was_received() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let both = list(
+    let both = list_event(
         3,
         false,
         &[("s-1", unreachable_address(), "draining"), ("s-2", unreachable_address(), "ready")],
@@ -205,8 +208,11 @@
 fn empty_list_starts_no_new_numbering() {
     let feed = ScriptedFeed::start();
     let program = start(&feed);
-    let (ready, gone, empty) =
-        (engine_event(2, "s-2", "ready"), engine_event(3, "s-2", "gone"), event(4, &list(4, false, &[])));
+    let (ready, gone, empty) = (
+        engine_event(2, "s-2", "ready"),
+        engine_event(3, "s-2", "gone"),
+        event(4, &list_event(4, false, &[])),
+    );
     let (_, first) = feed.answer([&*ready, &gone, &empty].concat());
     program.wait_line("engine_id=s-2 phase=Gone");
     drop(first);
@@ -225,7 +231,7 @@
     let program = start(&feed);
     let other_number = event(
         2,
-        &list(900, false, &[("s-2", unreachable_address(), "ready")])
+        &list_event(900, false, &[("s-2", unreachable_address(), "ready")])
             .replace("\"revision\":900", "\"revision\":2"),
     );
     let (_, first) = feed.answer([other_number, engine_event(3, "s-1", "draining")].concat());
@@ -233,8 +239,8 @@
     program.wait_line("engine_id=s-1 phase=Draining");
     drop(first);
     // For an event without an id, the number in its data counts.
-    let (last_event, second) =
-        feed.answer(format!("data: {}\n\n", list(4, false, &[("s-4", unreachable_address(), "ready")])));
+    let (last_event, second) = feed
+        .answer(format!("data: {}\n\n", list_event(4, false, &[("s-4", unreachable_address(), "ready")])));
     assert_eq!(last_event, 3);
     program.wait_line("engine_id=s-4 phase=Ready");
     drop(second);
@@ -334,7 +340,7 @@
     client.send(&query(&sql(1)));
     // The request was assigned to s-1, the only engine, when it was admitted, and waits for the connection.
     wait_until(|| (metric(admin, "outstanding") == 1).then_some(()));
-    let complete = list(2, true, &[("s-2", remaining.address, "ready")]);
+    let complete = list_event(2, true, &[("s-2", remaining.address, "ready")]);
     write(&mut stream, event(2, &complete));
     program.wait_line("engine_id=s-2 phase=Ready");
     let removed = removed.open(|_| Reply::Pages(vec!["a\tb\tc\n".into()]));
@@ -359,7 +365,7 @@
         ("s-2", ready.address, "ready"),
         ("s-1", draining.address, "ready"),
     ];
-    let (_, _stream) = feed.answer(event(2, &list(2, false, &entries)));
+    let (_, _stream) = feed.answer(event(2, &list_event(2, false, &entries)));
     program.wait_line("engine_id=s-2 phase=Ready");
     let mut client = RawClient::connect(program.platform);
     for id in 1..20 {
