--- a/crates/fault-soak/shim/syscall_faults.c
+++ b/crates/fault-soak/shim/syscall_faults.c
@@ -14,9 +14,10 @@
  *   broken=P     reads per 10,000 of connections that this process opened: the connection fails with
  *                ETIMEDOUT or EHOSTUNREACH
  *   config=P     opens of the configuration file per 1,000: fail with EIO or EMFILE
- *   from=T to=T  the time in which calls fail, in milliseconds of CLOCK_MONOTONIC
- *   step=T:S     from T on (milliseconds of CLOCK_MONOTONIC) the wall clock is S milliseconds ahead; of up to
- *                eight steps the last one that is due applies
+ *   from=T, to=T start and end of the time in which calls fail, in milliseconds of CLOCK_MONOTONIC; without
+ *                them calls fail at any time
+ *   step=T:S     from T on (milliseconds of CLOCK_MONOTONIC) the wall clock is S milliseconds ahead. Up to
+ *                eight steps may be given, ordered by time; the last one that is due applies
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -51,7 +52,7 @@
 
 /* Descriptors of connections that this process has opened. */
 static unsigned char is_outgoing[MAX_DESCRIPTORS];
-static pthread_once_t is_loaded = PTHREAD_ONCE_INIT;
+static pthread_once_t load_once = PTHREAD_ONCE_INIT;
 
 #define NEXT(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
@@ -63,7 +64,7 @@
     return (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
 }
 
-static void read_fault(char *entry) {
+static void parse_setting(char *entry) {
     char *value = strchr(entry, '=');
     if (!value) return;
     *value++ = 0;
@@ -85,13 +86,13 @@
     }
 }
 
-static void load(void) {
+static void load_settings(void) {
     faults.random_state = 88172645463325252ull;
     faults.to_ms = INT64_MAX;
     const char *text = getenv("SYSCALL_FAULTS");
     if (!text) return;
     char *copy = strdup(text), *rest = copy, *entry;
-    while ((entry = strsep(&rest, ","))) read_fault(entry);
+    while ((entry = strsep(&rest, ","))) parse_setting(entry);
     free(copy);
 }
 
@@ -106,15 +107,15 @@
 }
 
 static int should_fail(int chance, int out_of) {
-    pthread_once(&is_loaded, load);
+    pthread_once(&load_once, load_settings);
     if (chance <= 0) return 0;
     int64_t now = monotonic_ms();
     if (now < faults.from_ms || now >= faults.to_ms) return 0;
     return (int)(next_random() % (uint64_t)out_of) < chance;
 }
 
-/* Excludes the runtime's own socket pairs, which wake it for signals: they never block and are not
- * interrupted. */
+/* Excludes the socket pairs with which the async runtime wakes itself for signals: they never block and are
+ * not interrupted. */
 static int is_network_socket(int fd) {
     int domain = 0;
     socklen_t length = sizeof domain;
@@ -130,14 +131,15 @@
     return fail(errors[next_random() % (uint64_t)count]);
 }
 
-/* Returns -1 if a call on a socket must fail; otherwise limits the number of bytes that it may transfer. */
+/* Returns -1 and sets errno if a call on a socket must fail; otherwise returns 0, and may reduce *length, the
+ * number of bytes that the call transfers. */
 static int socket_fault(int fd, size_t *length, int is_read) {
-    pthread_once(&is_loaded, load);
+    pthread_once(&load_once, load_settings);
     if (!is_network_socket(fd)) return 0;
     if (should_fail(faults.eintr, 1000)) return fail(EINTR);
     if (is_read && fd >= 0 && fd < MAX_DESCRIPTORS && is_outgoing[fd] && should_fail(faults.broken, 10000)) {
         static const int errors[] = {ETIMEDOUT, EHOSTUNREACH};
-        /* Ends both directions, as after a real timeout; the peer gets a reset. */
+        /* Ends both directions of the connection, as a real timeout does; the peer gets a reset. */
         struct linger reset = {1, 0};
         setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
         shutdown(fd, SHUT_RDWR);
@@ -205,7 +207,7 @@
     static int (*next)(int, struct sockaddr *, socklen_t *, int);
     if (!next) next = NEXT(accept4);
     static const int errors[] = {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EHOSTUNREACH};
-    pthread_once(&is_loaded, load);
+    pthread_once(&load_once, load_settings);
     if (should_fail(faults.accept, 1000)) return fail_one_of(errors, 7);
     int accepted = next(fd, address, length, flags);
     if (accepted >= 0 && accepted < MAX_DESCRIPTORS) is_outgoing[accepted] = 0;
@@ -216,7 +218,7 @@
     static int (*next)(int, int, int);
     if (!next) next = NEXT(socket);
     static const int errors[] = {EMFILE, ENFILE, ENOBUFS, ENOMEM};
-    pthread_once(&is_loaded, load);
+    pthread_once(&load_once, load_settings);
     if ((type & 0xf) == SOCK_STREAM && should_fail(faults.socket, 1000)) return fail_one_of(errors, 4);
     return next(domain, type, protocol);
 }
@@ -225,7 +227,7 @@
     static int (*next)(int, const struct sockaddr *, socklen_t);
     if (!next) next = NEXT(connect);
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN};
-    pthread_once(&is_loaded, load);
+    pthread_once(&load_once, load_settings);
     if (should_fail(faults.eintr, 1000)) return fail(EINTR);
     if (should_fail(faults.connect, 1000)) return fail_one_of(errors, 4);
     if (fd >= 0 && fd < MAX_DESCRIPTORS) is_outgoing[fd] = 1;
@@ -234,7 +236,7 @@
 
 /* Current offset of the wall clock, in milliseconds. */
 static int64_t wall_clock_ahead_ms(void) {
-    pthread_once(&is_loaded, load);
+    pthread_once(&load_once, load_settings);
     int64_t now = faults.step_count ? monotonic_ms() : 0, ahead = 0;
     for (int i = 0; i < faults.step_count; i++) {
         if (now >= faults.steps[i].at_ms) ahead = faults.steps[i].ahead_ms;
--- a/crates/fault-soak/src/feed.rs
+++ b/crates/fault-soak/src/feed.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Interval between the comments that keep an open call alive.
+/// Interval between the comments on an open call, by which the manager sees that the feed is not silent.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 /// Length after which the rest of a request head is not read.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
--- a/crates/fault-soak/src/manager_endpoint.rs
+++ b/crates/fault-soak/src/manager_endpoint.rs
@@ -20,8 +20,8 @@
     pub(crate) is_up: bool,
     /// Time at which SIGTERM was sent.
     pub(crate) terminated_at: Option<Instant>,
-    /// The fault schedule killed the process. A process killed after SIGTERM because it ran for too long is
-    /// not meant.
+    /// The fault schedule killed the process. False for a process that was killed because it ran for too long
+    /// after SIGTERM.
     pub(crate) was_killed: bool,
 }
 
--- a/crates/fault-soak/src/nemesis.rs
+++ b/crates/fault-soak/src/nemesis.rs
@@ -20,8 +20,8 @@
         /// Number of managers.
         managers: usize,
     },
-    /// All managers get a configuration with another feed address, and SIGHUP; the old feed closes 1.5 s
-    /// later.
+    /// All serving managers get a configuration with another feed address, and SIGHUP; the old feed closes
+    /// 1.5 s later.
     Reload,
     /// The feeds of about half of the managers send nothing.
     SilentFeeds {
@@ -38,7 +38,7 @@
         /// Number of engines.
         engines: usize,
     },
-    /// Engines answer nothing.
+    /// Engines send no answers.
     Hang {
         /// Number of engines.
         engines: usize,
--- a/tests/certificates.rs
+++ b/tests/certificates.rs
@@ -81,7 +81,7 @@
     assert_eq!(ask(&mut secure(&restarted, &authority)), "IZ");
     assert_eq!((authority.signed(), authority.accounts()), (1, 1));
     drop(restarted);
-    // No stored certificate, and orders are rejected: no session, but no crash either.
+    // Without a stored certificate, and while orders are rejected, no session starts; the program still runs.
     authority.set_rejects_orders(true);
     let mut without_certificate = start_program(&authority, challenges, None);
     wait_until(|| (authority.rejected_orders() >= 4).then_some(()));
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -41,7 +41,8 @@
             Front::Second => program.second.expect("the second front is on"),
         }
     }
-    /// Number of bytes that a session may read ahead. The final error of a session that exceeds it names it.
+    /// Number of bytes that a session may read ahead. If a session exceeds this limit, its final error names
+    /// it.
     fn read_ahead_limit(self) -> usize {
         match self {
             Front::Platform => 64 << 10,
--- a/tests/extended.rs
+++ b/tests/extended.rs
@@ -233,8 +233,8 @@
     assert_eq!(message_types(&client.ask("")), "IZ", "the session continues");
 }
 
-/// The retry budget of each 5 s window, counted at the engines: 3 retries plus a tenth of the admitted
-/// requests.
+/// Retries, counted at the engines, stay within the budget of each 5 s window: 3 retries plus a tenth of the
+/// admitted requests.
 #[test]
 fn retries_stay_within_the_retry_budget() {
     let (first, second) =
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -170,8 +170,8 @@
     assert!(started_at.elapsed() < Duration::from_secs(20), "{:?}", started_at.elapsed());
 }
 
-/// An accept may fail because of the new connection itself, or temporarily: no existing client is evicted for
-/// it.
+/// An accept may fail because of the new connection itself, or temporarily: no existing client is evicted
+/// because of the failure.
 #[test]
 fn failing_accepts_evict_no_client_that_is_writing_its_request() {
     let engine = Engine::echo();
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -99,7 +99,7 @@
 }
 
 /// A zone is partitioned from the others, with its managers and engines on the same side: it serves its own
-/// requests, and so do the others.
+/// requests, and so do the other zones.
 #[test]
 fn partitioned_zone_serves_its_own_requests() {
     let isolate = |at: f64, is_partitioned: bool| -> String {
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -50,7 +50,7 @@
     ("--nonsense", None),
 ];
 
-/// Invalid values: a command that has the option, the option and the value.
+/// Invalid option values: the subcommand, the option and the value.
 const INVALID_VALUES: [(&str, &str, &str); 17] = [
     ("replay", "--times", "0"),
     ("replay", "--times", "10001"),
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -38,7 +38,7 @@
     for key in ["file", "case", "other_build", "took_s", "text"] {
         map.remove(key);
     }
-    // The description of the first divergence.
+    // Removes the description of a replay's first divergence.
     if map.contains_key("expected") {
         for key in ["event", "expected", "got"] {
             map.remove(key);
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -323,7 +323,7 @@
     golden::assert_matches("wire-second-front.txt", &mask_generated(&transcript.text));
 }
 
-/// Calls to the operators' address: status and body.
+/// Calls to the operators' address get the status and body of earlier versions.
 #[test]
 fn admin_calls_are_answered_as_before() {
     let engine = start_engine();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -84,14 +84,14 @@
         assert_eq!((message_types(&answer).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
         assert!(message.contains(&format!("field {name} ")), "{text}: {message}");
     }
-    // A query without its final zero byte: the session continues with the next message.
+    // After a query without its final zero byte the session continues with the next message.
     session.send(&framed(b'Q', b"no end"));
     assert!(error_fields(&session.until_ready())[1].contains("field query"));
     // Extended queries are not supported on this front: one error, then messages are skipped up to Sync.
     session.send(&[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
     let answer = session.until_ready();
     assert_eq!((message_types(&answer).as_str(), error_fields(&answer)[0].as_str()), ("EZ", "0A000"));
-    // A length that no message can have: the session ends with an error.
+    // After a length that no message can have, the session ends with an error.
     let mut invalid_length = RawClient::connect(program.platform);
     invalid_length.send(&[b'Q', 0xff, 0xff, 0xff, 0xff]);
     let last = invalid_length.message().expect("a final error");
@@ -104,7 +104,7 @@
     // Several statements in one query are rejected: only the first would be answered.
     let several = session.ask(&format!("{}; DROP TABLE staging.batch", sql("lane-rate", 3, "")));
     assert_eq!(error_fields(&several)[0], "0A000");
-    // A request id that was used before, with another statement.
+    // A request id that was used before with another statement is rejected.
     let reused_id = session.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
     assert_eq!(error_fields(&reused_id)[0], "42710");
     assert_eq!(engine.received("do").len(), 1, "no malformed request was forwarded");
@@ -465,10 +465,10 @@
     let listener = DelayedListener::listen();
     let program = Program::start(&[("s-1", listener.address)], None, None);
     let mut client = RawClient::connect(program.platform);
-    // A request that the policy rejects.
+    // The policy rejects the first request.
     let short = sql("lane-rate", 1, "").replace("timeout=20000", "timeout=400");
     assert_eq!(message_types(&client.ask(&short)), "EZ", "no engine could answer it in time");
-    // A request whose client leaves.
+    // The client of the second request leaves.
     let mut departed = RawClient::connect(program.platform);
     departed.send(&query(&sql("lane-rate", 2, "")));
     drop(departed);
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -168,7 +168,7 @@
     run.end();
 }
 
-/// A load of four times the engines' capacity for three seconds.
+/// For three seconds the load is four times the engines' capacity.
 #[test]
 #[ignore = "records a run in real time"]
 fn burst_above_capacity() {
--- a/tests/stopping.rs
+++ b/tests/stopping.rs
@@ -152,8 +152,8 @@
 }
 
 /// A session whose request is in flight when the program stops listening gets its complete answer, then the
-/// connection is closed. A request that the client sends at that moment crosses the close, which the platform
-/// handles.
+/// connection is closed. The platform handles a request that the client sends while the connection is being
+/// closed.
 #[test]
 fn session_ends_after_its_last_answer() {
     let (engine, mut program, mut client) = stopped_with_one_in_flight();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,7 +15,7 @@
     format!("/* kind=lane-rate,req={req:016x},timeout=20000,owner=sud,ms={ms} */ SELECT a FROM sales_17.orders WHERE ms = {ms}")
 }
 
-/// A listening socket that only the programs accept on.
+/// Binds a listening socket on which only the programs accept connections.
 fn shared_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
