--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -1,5 +1,7 @@
 //! Compares two builds of the program, as ratios within one run: processor time of a start, a request and a
-//! control feed event, and memory after the start and after the load. Not part of the suite:
+//! control feed event, and memory after the start and after the load. The test is ignored by default. It
+//! needs the paths of the two programs in `SPRUCELINK_BEFORE` and `SPRUCELINK_AFTER`, and `--nocapture` to
+//! show its table.
 mod support;
 
 use std::os::unix::fs::PermissionsExt;
@@ -8,9 +10,12 @@
 use support::timed_engine::BUSY;
 use support::*;
 
+/// Number of rounds, in each of which both programs are measured.
 const ROUNDS: usize = 7;
 const SESSIONS: u64 = 8;
+/// Measured requests per session.
 const REQUESTS: u64 = 600;
+/// Measured events of the control feed.
 const EVENTS: usize = 400;
 
 /// Processor time of the whole process so far, in microseconds.
@@ -61,7 +66,7 @@
         ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
     let feed = Feed::start();
     let listed: Vec<_> = engines_by_id.iter().map(|(id, address)| (*id, *address, "ready")).collect();
-    feed.send(list(1, true, &listed));
+    feed.send(list_event(1, true, &listed));
     let mut program = Program::launch(&engines_by_id, Some(&feed), None, (32, 1024), BUSY, &[]);
     wait_until(|| (feed.open_calls() > 0).then_some(()));
     thread::sleep(Duration::from_millis(300));
@@ -70,10 +75,10 @@
     let send_requests = |first_id: u64, count: u64| {
         let threads = (0..SESSIONS).map(|s| {
             thread::spawn(move || {
-                let mut raw = RawClient::connect(to);
+                let mut client = RawClient::connect(to);
                 for k in 0..count {
                     let sql = support::timed_engine::lookup_sql((s << 40) + first_id + k, 5);
-                    assert_eq!(rows(&raw.ask(&sql)).len(), 1);
+                    assert_eq!(rows(&client.ask(&sql)).len(), 1);
                 }
             })
         });
@@ -83,8 +88,8 @@
     let before_requests = processor_time(&program);
     send_requests(1_000, REQUESTS);
     let before_events = processor_time(&program);
-    (0..EVENTS).for_each(|n| feed.send(list(n + 2, false, &listed[..1])));
-    feed.send(list(EVENTS + 2, false, &[("s-last", engines[0].address, "ready")]));
+    (0..EVENTS).for_each(|n| feed.send(list_event(n + 2, false, &listed[..1])));
+    feed.send(list_event(EVENTS + 2, false, &[("s-last", engines[0].address, "ready")]));
     program.wait_line("engine_id=s-last phase=Ready");
     let after_events = processor_time(&program);
     let end = [memory(&program, "VmRSS"), memory(&program, "RssAnon"), memory(&program, "VmHWM")];
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -15,8 +15,8 @@
     let page = |n: usize| (0..40).map(|i| format!("{n}\t{i}\t'quoted' \u{e9}\n")).collect::<String>();
     let engine = Engine::start(move |_| Reply::Pages((0..8).map(page).collect()));
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    let answer = raw.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
+    let mut client = RawClient::connect(program.platform);
+    let answer = client.ask(&sql("tariff-load", 0x9b1f_03aa_5c7e_2d41, ",opkey=5c0f6e,ms=820.0,heap_mb=96"));
     let expected: Vec<String> =
         (0..8).flat_map(|n| (0..40).map(move |i| format!("{n}|{i}|'quoted' \u{e9}"))).collect();
     assert_eq!(rows(&answer), expected);
@@ -37,20 +37,20 @@
 fn query_directly_after_the_startup_packet_is_answered() {
     let engine = Engine::echo();
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::open(program.platform);
+    let mut client = RawClient::open(program.platform);
     let encryption =
         [80_877_104u32, 80_877_103].map(|code| [8u32.to_be_bytes(), code.to_be_bytes()].concat());
     for packet in encryption {
-        raw.send(&packet);
+        client.send(&packet);
         let mut reply = [0];
-        std::io::Read::read_exact(&mut raw.stream, &mut reply).expect("an answer");
+        std::io::Read::read_exact(&mut client.stream, &mut reply).expect("an answer");
         assert_eq!(reply, *b"N");
     }
-    raw.send(&[startup(), query(""), query(" ;\n"), query(&sql("lane-rate", 1, ""))].concat());
-    assert!(message_types(&raw.until_ready()).starts_with("RS"));
-    assert_eq!(message_types(&raw.until_ready()), "IZ", "the platform's health check");
-    assert_eq!(message_types(&raw.until_ready()), "IZ");
-    assert_eq!(rows(&raw.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
+    client.send(&[startup(), query(""), query(" ;\n"), query(&sql("lane-rate", 1, ""))].concat());
+    assert!(message_types(&client.until_ready()).starts_with("RS"));
+    assert_eq!(message_types(&client.until_ready()), "IZ", "the platform's health check");
+    assert_eq!(message_types(&client.until_ready()), "IZ");
+    assert_eq!(rows(&client.until_ready()), ["SELECT a FROM sales_17.orders|b|c"]);
 }
 
 /// Malformed input affects its own session only, and the error names the field.
@@ -84,14 +84,14 @@
         assert_eq!((message_types(&answer).as_str(), code.as_str()), ("EZ", "08P01"), "{message}");
         assert!(message.contains(&format!("field {name} ")), "{text}: {message}");
     }
-    // A query without its final zero byte: the session continues with the next message.
+    // After a query without its final zero byte the session continues with the next message.
     session.send(&framed(b'Q', b"no end"));
     assert!(error_fields(&session.until_ready())[1].contains("field query"));
     // Extended queries are not supported on this front: one error, then messages are skipped up to Sync.
     session.send(&[parse("", "x"), bind("", "", &[]), execute("", 0), sync()].concat());
     let answer = session.until_ready();
     assert_eq!((message_types(&answer).as_str(), error_fields(&answer)[0].as_str()), ("EZ", "0A000"));
-    // A length that no message can have: the session ends with an error.
+    // After a length that no message can have, the session ends with an error.
     let mut invalid_length = RawClient::connect(program.platform);
     invalid_length.send(&[b'Q', 0xff, 0xff, 0xff, 0xff]);
     let last = invalid_length.message().expect("a final error");
@@ -104,23 +104,23 @@
     // Several statements in one query are rejected: only the first would be answered.
     let several = session.ask(&format!("{}; DROP TABLE staging.batch", sql("lane-rate", 3, "")));
     assert_eq!(error_fields(&several)[0], "0A000");
-    // A request id that was used before, with another statement.
+    // A request id that was used before with another statement is rejected.
     let reused_id = session.ask(&sql("lane-rate", 2, "").replace("orders", "lines"));
     assert_eq!(error_fields(&reused_id)[0], "42710");
     assert_eq!(engine.received("do").len(), 1, "no malformed request was forwarded");
-    assert!(program.running());
+    assert!(program.is_running());
 }
 
 /// A rejected request is answered at once with a retry delay.
 #[test]
 fn rejection_is_immediate_and_carries_retry_after() {
     let program = Program::start(&[], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     // Ten minutes of work with a deadline of twenty seconds cannot be served in time.
-    let answer = raw.ask(&sql("lane-rate", 1, ",ms=600000"));
+    let answer = client.ask(&sql("lane-rate", 1, ",ms=600000"));
     let [code, _, detail, hint] = error_fields(&answer);
     assert!(code.starts_with("53"), "{code}");
-    let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("for programs").parse().expect("a number");
+    let ms: u64 = detail.strip_prefix("retry_after_ms=").expect("a retry delay").parse().expect("a number");
     assert!((1..=2_000).contains(&ms), "within limits.maxRetryAfter: {ms}");
     assert_eq!(hint, format!("Come back in {ms} ms."));
 }
@@ -129,15 +129,15 @@
 fn cancel_or_disconnect_cancels_the_platform_request() {
     let engine = Engine::start(|_| Reply::Hold);
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql("lane-rate", 1, "")));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
-    raw.cancel(program.platform);
-    assert_eq!(error_fields(&raw.until_ready())[0], "57014");
+    client.cancel(program.platform);
+    assert_eq!(error_fields(&client.until_ready())[0], "57014");
     assert_eq!(engine.wait_for("undo", 1)[0].parts[1], format!("{:016x}", 1));
-    raw.send(&query(&sql("lane-rate", 2, "")));
+    client.send(&query(&sql("lane-rate", 2, "")));
     engine.wait_for("do", 2);
-    drop(raw);
+    drop(client);
     assert_eq!(engine.wait_for("undo", 2)[1].parts[1], format!("{:016x}", 2));
 }
 
@@ -153,8 +153,8 @@
         _ => Reply::Pages(vec![format!("{}\tb\tc\n", command.parts[1])]),
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 7, ""))), [format!("{:016x}|b|c", 7)]);
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 7, ""))), [format!("{:016x}|b|c", 7)]);
     assert_eq!(engine.received("do").len(), 4);
     program.wait_line("unreadable: field body");
 }
@@ -183,7 +183,8 @@
         "*4\r\n$16\r\n@\r\n$6\r\nserved\r\n$9\r\nbatches=1\r\n$3221225472\r\n".into(),
         "*4\r\n$16\r\n@\r\n$6\r\nser".into(),
     ];
-    // Three for each process, which is its retry budget.
+    // Three malformed answers per process, which is the number of retries that its retry budget always
+    // allows.
     for malformed in malformed.chunks(3) {
         let (answers, attempts) = (malformed.to_vec(), AtomicUsize::new(0));
         // Every second answer is malformed, each in a different way.
@@ -193,9 +194,9 @@
             malformed.map_or_else(|| Reply::Pages(vec!["good\tb\tc\n".into()]), |m| Reply::Raw(m.clone()))
         });
         let program = Program::start(&[("s-1", engine.address)], None, None);
-        let mut raw = RawClient::connect(program.platform);
+        let mut client = RawClient::connect(program.platform);
         for (id, text) in malformed.iter().enumerate() {
-            assert_eq!(rows(&raw.ask(&sql("lane-rate", id as u64, ""))), ["good|b|c"], "{text}");
+            assert_eq!(rows(&client.ask(&sql("lane-rate", id as u64, ""))), ["good|b|c"], "{text}");
         }
         let lines = program.lines();
         assert_eq!(lines.iter().filter(|l| l.contains("unreadable")).count(), malformed.len());
@@ -212,9 +213,9 @@
         Reply::Raw([unknown.as_str(), &valid, &valid, &unknown].concat())
     });
     let program = Program::start(&[("s-1", engine.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     for i in 1..30 {
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))), ["a|b|c"]);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", i, ""))), ["a|b|c"]);
     }
     assert_eq!(engine.received("do").len(), 29, "each request was sent once");
     assert_eq!(engine.received("page").len() + engine.received("forget").len(), 0);
@@ -229,18 +230,18 @@
 #[test]
 fn feed_is_resumed_after_a_disconnect() {
     let (first, second, feed) = (Engine::echo(), Engine::echo(), Feed::start());
-    feed.send(list(1, true, &[("s-1", first.address, "ready")]));
+    feed.send(list_event(1, true, &[("s-1", first.address, "ready")]));
     let program = Program::start(&[("s-1", first.address)], Some(&feed), None);
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
-    feed.send(list(2, false, &[("s-2", second.address, "ready")]));
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 1, ""))).len(), 1);
+    feed.send(list_event(2, false, &[("s-2", second.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     feed.close_calls();
     wait_until(|| (feed.calls.lock().expect("unpoisoned").len() >= 2).then_some(()));
-    feed.send(list(3, false, &[("s-1", first.address, "draining")]));
+    feed.send(list_event(3, false, &[("s-1", first.address, "draining")]));
     program.wait_line("engine_id=s-1 phase=Draining");
     for i in 2..30 {
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", i, ""))).len(), 1);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", i, ""))).len(), 1);
     }
     assert_eq!((first.received("do").len(), second.received("do").len()), (1, 28));
     let calls = feed.calls.lock().expect("unpoisoned").clone();
@@ -256,9 +257,9 @@
     let program = Program::start_limited(&[("s-1", engine.address)], None, None, 16, 96);
     let mut sessions: Vec<RawClient> = Vec::new();
     for id in 1..120 {
-        let mut raw = RawClient::connect(program.platform);
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
-        sessions.push(raw);
+        let mut client = RawClient::connect(program.platform);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
+        sessions.push(client);
     }
     assert!(sessions[0].message().is_none(), "the session idle for longest was evicted");
     sessions[118].ask(&sql("lane-rate", 119 + 1, ""));
@@ -266,13 +267,14 @@
     // Connections within their grace period are not evicted.
     std::thread::sleep(Duration::from_millis(100));
     for id in 200..240 {
-        let mut raw = RawClient::connect(program.platform);
-        assert_eq!(rows(&raw.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
+        let mut client = RawClient::connect(program.platform);
+        assert_eq!(rows(&client.ask(&sql("lane-rate", id, ""))).len(), 1, "request {id}");
     }
     drop(silent);
 }
 
-/// An incomplete message must not keep a slot and a buffer for ever; its sender gets an error.
+/// An incomplete message must not occupy a slot and a buffer for ever: after a timeout its sender gets an
+/// error.
 #[test]
 fn incomplete_message_times_out_with_an_error() {
     let program = Program::start(&[], None, None);
@@ -282,12 +284,12 @@
     let mut partial_message = RawClient::connect(program.platform);
     partial_startup.send(&startup()[..9]);
     partial_message.send(&query(&sql("lane-rate", 1, ""))[..20]);
-    for (raw, name) in
+    for (client, name) in
         [(&mut silent, "start-up"), (&mut partial_startup, "start-up"), (&mut partial_message, "length")]
     {
-        let text = &error_fields(&[raw.message().expect("a final error")])[1];
+        let text = &error_fields(&[client.message().expect("a final error")])[1];
         assert!(text.contains(&format!("field {name}")), "{text}");
-        assert!(raw.message().is_none());
+        assert!(client.message().is_none());
     }
     assert!(started_at.elapsed() >= Duration::from_millis(1_500), "not before the timeout");
 }
@@ -296,13 +298,13 @@
 #[test]
 fn oversized_message_sender_receives_its_error() {
     let program = Program::start(&[], None, None);
-    let mut raw = RawClient::connect(program.platform);
+    let mut client = RawClient::connect(program.platform);
     let mut message = vec![b'x'; 60 << 20];
     message[..5].copy_from_slice(&[b'Q', 0x03, 0x93, 0x87, 0x00]);
-    raw.send(&message);
+    client.send(&message);
     std::thread::sleep(Duration::from_millis(50));
-    assert!(error_fields(&[raw.message().expect("a final error")])[1].contains("field length"));
-    assert!(raw.message().is_none());
+    assert!(error_fields(&[client.message().expect("a final error")])[1].contains("field length"));
+    assert!(client.message().is_none());
 }
 
 /// A damaged event must not be lost, since it may announce a drain: it is requested again. An event that
@@ -310,15 +312,15 @@
 #[test]
 fn unreadable_event_is_requested_again_and_finally_skipped() {
     let (engine, feed) = (Engine::echo(), Feed::start());
-    feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
-    let drain = list(2, false, &[("s-1", engine.address, "draining")]);
+    feed.send(list_event(1, true, &[("s-1", engine.address, "ready")]));
+    let drain = list_event(2, false, &[("s-1", engine.address, "draining")]);
     feed.send_malformed_once(&drain, &drain[..drain.len() / 2]);
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
     program.wait_line("an event could not be read");
     program.wait_line("engine_id=s-1 phase=Draining");
     feed.send("{\"n\":3,\"members\":7}");
     program.wait_line("feed event skipped");
-    feed.send(list(4, false, &[("s-2", engine.address, "ready")]));
+    feed.send(list_event(4, false, &[("s-2", engine.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     let calls = feed.calls.lock().expect("unpoisoned").clone();
     let calls_after = |n: u64| calls.iter().filter(|c| **c == n).count();
@@ -339,12 +341,12 @@
     });
     let (old, new) = (Feed::start(), Feed::start());
     for feed in [&old, &new] {
-        feed.send(list(1, true, &[("s-1", engine.address, "ready")]));
+        feed.send(list_event(1, true, &[("s-1", engine.address, "ready")]));
         feed.send("{\"n\":2}");
     }
     let mut program = Program::start(&[("s-1", engine.address)], Some(&old), None);
-    let mut raw = RawClient::connect(program.platform);
-    raw.send(&query(&sql("lane-rate", 1, "")));
+    let mut client = RawClient::connect(program.platform);
+    client.send(&query(&sql("lane-rate", 1, "")));
     engine.wait_for("do", 1);
     // A configuration that cannot be parsed changes nothing, and is logged.
     let config = program.config_with_feed(new.address);
@@ -352,7 +354,7 @@
     program.wait_line("configuration not reloaded");
     program.reload(&config);
     program.wait_line("configuration reloaded");
-    new.send(list(3, false, &[("s-2", engine.address, "ready")]));
+    new.send(list_event(3, false, &[("s-2", engine.address, "ready")]));
     program.wait_line("engine_id=s-2 phase=Ready");
     assert_eq!(
         new.calls.lock().expect("unpoisoned")[0],
@@ -362,8 +364,8 @@
     assert_eq!(old.calls.lock().expect("unpoisoned").len(), 1, "the old feed is not called again");
     wait_until(|| (old.open_calls() == 0).then_some(()));
     release.store(true, std::sync::atomic::Ordering::SeqCst);
-    assert_eq!(rows(&raw.until_ready()).len(), 1);
-    assert!(program.running());
+    assert_eq!(rows(&client.until_ready()).len(), 1);
+    assert!(program.is_running());
 }
 
 /// When an address is reused, requests for the new engine are not sent on connections to the old one.
@@ -372,14 +374,15 @@
     let (engine, feed) = (Engine::echo(), Feed::start());
     feed.send("{\"n\":1}");
     let program = Program::start(&[("s-1", engine.address)], Some(&feed), None);
-    let mut raw = RawClient::connect(program.platform);
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 1, ""))).len(), 1);
-    feed.send(list(2, false, &[("s-1", engine.address, "gone"), ("s-9", engine.address, "ready")]));
+    let mut client = RawClient::connect(program.platform);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 1, ""))).len(), 1);
+    feed.send(list_event(2, false, &[("s-1", engine.address, "gone"), ("s-9", engine.address, "ready")]));
     program.wait_line("engine_id=s-9 phase=Ready");
-    assert_eq!(rows(&raw.ask(&sql("lane-rate", 2, ""))).len(), 1);
+    assert_eq!(rows(&client.ask(&sql("lane-rate", 2, ""))).len(), 1);
 }
 
-/// SIGTERM: admitted requests are answered, those that still arrive are served, and the exit code is 0.
+/// After SIGTERM admitted requests are answered, requests that still arrive are served, and the exit status
+/// is 0.
 #[test]
 fn stop_answers_admitted_requests_and_exits_with_0() {
     let engine = Engine::start(|command| {
@@ -395,8 +398,8 @@
     program.wait_line("stopping open_requests=");
     if idle.stream.write_all(&query("")).is_ok() {
         let answer = idle.message().map(|m| m.0);
-        // Requests are served for another 0.6 s; on a machine that took longer to get here this checks
-        // nothing.
+        // Requests are served for another 0.6 s. On a slow machine the message may have been sent too late,
+        // and is then not checked.
         assert!(answer == Some(b'I') || terminated_at.elapsed() > Duration::from_millis(500), "{answer:?}");
         assert!(answer.is_none() || idle.message().map(|m| m.0) == Some(b'Z'));
     }
@@ -461,19 +464,19 @@
 fn answered_request_is_not_sent_when_its_connection_opens_late() {
     let listener = DelayedListener::listen();
     let program = Program::start(&[("s-1", listener.address)], None, None);
-    let mut raw = RawClient::connect(program.platform);
-    // A request that the policy rejects.
+    let mut client = RawClient::connect(program.platform);
+    // The policy rejects the first request.
     let short = sql("lane-rate", 1, "").replace("timeout=20000", "timeout=400");
-    assert_eq!(message_types(&raw.ask(&short)), "EZ", "no engine could answer it in time");
-    // A request whose client leaves.
+    assert_eq!(message_types(&client.ask(&short)), "EZ", "no engine could answer it in time");
+    // The client of the second request leaves.
     let mut departed = RawClient::connect(program.platform);
     departed.send(&query(&sql("lane-rate", 2, "")));
     drop(departed);
     for _ in 0..3 {
-        assert_eq!(message_types(&raw.ask("")), "IZ", "the client's end has been read by then");
+        assert_eq!(message_types(&client.ask("")), "IZ", "the client's end has been read by then");
     }
     let engine = listener.open(|_| Reply::Hold);
-    raw.send(&query(&sql("lane-rate", 3, "")));
+    client.send(&query(&sql("lane-rate", 3, "")));
     // The requests share the connection: an earlier request would have arrived first.
     let commands = engine.wait_for("do", 1);
     assert_eq!(commands[0].parts[1], format!("{:016x}", 3), "{commands:?}");
--- a/tests/record_cases.rs
+++ b/tests/record_cases.rs
@@ -1,6 +1,7 @@
 //! Records the runs that the cases in `captures/` are cut from: the program with timed stand-in engines, in
-//! real time. Not part of the suite. `cargo test --release --test record_cases -- --ignored --nocapture
-//! --test-threads 1` writes one folder per run under `target/cases/`, and prints the moment to cut around.
+//! real time. The tests are ignored by default. `cargo test --release --test record_cases -- --ignored
+//! --nocapture --test-threads 1` writes one folder per run under `target/cases/`, and prints the time around
+//! which a case is cut.
 mod support;
 
 use std::path::Path;
@@ -12,14 +13,14 @@
 use support::timed_engine::{lookup_sql, TimedEngine, BUSY};
 use support::*;
 
-/// Sessions that send requests; further requests wait until a session is free.
+/// Number of sessions that send requests; further requests wait until a session is free.
 const SESSIONS: usize = 96;
 
 struct Run {
     engines: Vec<TimedEngine>,
     feed: Feed,
     program: Program,
-    /// Queue of request ids and their work in milliseconds.
+    /// Queue of requests: id and work in milliseconds.
     requests: SyncSender<(u64, u64)>,
     next_id: AtomicU64,
     served: Arc<AtomicUsize>,
@@ -37,7 +38,7 @@
             ids.iter().map(String::as_str).zip(engines.iter().map(|e| e.address)).collect();
         let feed = Feed::start();
         let ready: Vec<_> = engines_by_id.iter().map(|(id, address)| (*id, *address, "ready")).collect();
-        feed.send(list(1, true, &ready));
+        feed.send(list_event(1, true, &ready));
         let args = ["--capture", dir.to_str().expect("text")];
         let program = Program::launch(&engines_by_id, Some(&feed), None, (192, 1024), BUSY, &args);
         let (requests, queue) = sync_channel::<(u64, u64)>(10_000);
@@ -45,11 +46,11 @@
         for _ in 0..SESSIONS {
             let (queue, served, to) = (Arc::clone(&queue), Arc::clone(&served), program.platform);
             thread::spawn(move || {
-                let mut raw = RawClient::connect(to);
+                let mut client = RawClient::connect(to);
                 loop {
                     let next = queue.lock().expect("unpoisoned").recv();
                     let Ok((id, ms)) = next else { return };
-                    let answer = raw.ask(&lookup_sql(id, ms));
+                    let answer = client.ask(&lookup_sql(id, ms));
                     served.fetch_add(usize::from(!rows(&answer).is_empty()), Ordering::SeqCst);
                 }
             });
@@ -110,7 +111,8 @@
     run.end();
 }
 
-/// An engine drains under load, and requests arrive every 0.25 ms around the end of its grace period.
+/// An engine drains under load. Requests arrive every 0.25 ms from 15 ms before to 15 ms after the end of the
+/// drain grace period, the 0.5 s after the notice in which requests may still be sent to the engine.
 #[test]
 #[ignore = "records a run in real time"]
 fn requests_arrive_around_the_end_of_a_drain_grace_period() {
@@ -118,7 +120,7 @@
     run.load(90, 4.0);
     let address = run.engines[2].address;
     run.print_moment("engine s-3 drains");
-    run.feed.send(list(2, false, &[("s-3", address, "draining")]));
+    run.feed.send(list_event(2, false, &[("s-3", address, "draining")]));
     run.program.wait_line("engine_id=s-3 phase=Draining");
     let drained_at = Instant::now();
     run.load(90, 0.46);
@@ -145,12 +147,13 @@
     run.print_moment("engine s-1 dies");
     run.engines[0].crash();
     run.load(100, 1.0);
-    run.feed.send(list(2, false, &[("s-1", run.engines[0].address, "gone")]));
+    run.feed.send(list_event(2, false, &[("s-1", run.engines[0].address, "gone")]));
     run.load(100, 4.0);
     run.end();
 }
 
-/// Connections to every engine break repeatedly: many more retries are wanted than the retry budget allows.
+/// Connections to every engine break repeatedly: many more attempts fail than the retry budget allows
+/// retries.
 #[test]
 #[ignore = "records a run in real time"]
 fn connections_break() {
@@ -165,7 +168,7 @@
     run.end();
 }
 
-/// A load of four times the engines' capacity for three seconds.
+/// For three seconds the load is four times the engines' capacity.
 #[test]
 #[ignore = "records a run in real time"]
 fn burst_above_capacity() {
--- a/tests/support/resource_limits.rs
+++ b/tests/support/resource_limits.rs
@@ -6,7 +6,8 @@
 use std::net::Shutdown;
 use std::sync::atomic::AtomicU8;
 
-/// Text of a configuration with these engines and this feed address, where a server need not listen.
+/// Text of a configuration with these engines, this feed address and a limit of `sockets` descriptors. No
+/// server needs to listen at the feed address.
 pub fn config(
     engines: &[(&str, SocketAddr)],
     feed: Option<SocketAddr>,
@@ -19,12 +20,12 @@
         r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"00000000000000aa",{feed}
          "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
          "known":{{"n":1,"events":[{}]}},"settings":{settings}}}"#,
-        list(1, true, &ready)
+        list_event(1, true, &ready)
     )
 }
 
-/// Starts the program with this configuration and these arguments, with the operators' address open. With
-/// `descriptors`, the shell sets that limit on open files before it executes the program.
+/// Starts the program with this configuration and these arguments, with the operators' address open. If
+/// `descriptors` is given, the shell sets it as the limit on open files before it executes the program.
 pub fn start(config: &str, descriptors: Option<usize>, extra_args: &[&str]) -> Program {
     let dir = scratch_dir();
     std::fs::write(dir.join("config.json"), config).expect("written");
@@ -42,7 +43,7 @@
     program
 }
 
-/// Number of descriptors that a process has open; 0 if it has ended.
+/// Number of descriptors that the process with this id has open; 0 if it has ended.
 pub fn descriptors(process: u32) -> usize {
     std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
@@ -68,16 +69,16 @@
         DescriptorWatch { stop, sampler }
     }
 
-    /// Ends the sampling and returns the maximum.
+    /// Ends the sampling and returns the maximum number of open descriptors.
     pub fn peak(self) -> usize {
         self.stop.store(1, Ordering::SeqCst);
         self.sampler.join().expect("sampled")
     }
 }
 
-/// How a [`FeedProxy`] treats calls.
+/// How a [`FeedProxy`] treats new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiscoveryMode {
+pub enum FeedProxyMode {
     /// Closes each call at once.
     Down,
     /// Accepts each call and never answers.
@@ -88,7 +89,7 @@
     Up,
 }
 
-/// A proxy in front of a feed, at a fixed address: tests use it to make the feed unreachable for a while.
+/// A proxy in front of a feed. Its address stays the same while a test makes the feed unreachable.
 pub struct FeedProxy {
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
@@ -96,7 +97,7 @@
 }
 
 impl FeedProxy {
-    pub fn start(feed: SocketAddr, mode: DiscoveryMode) -> FeedProxy {
+    pub fn start(feed: SocketAddr, mode: FeedProxyMode) -> FeedProxy {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (mode, calls) = (Arc::new(AtomicU8::new(mode as u8)), Arc::new(AtomicU64::new(0)));
@@ -106,9 +107,9 @@
             for mut caller in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
                 match current_mode.load(Ordering::SeqCst) {
-                    m if m == DiscoveryMode::Down as u8 => drop(caller),
-                    m if m == DiscoveryMode::Silent as u8 => open.push(caller),
-                    m if m == DiscoveryMode::HeadOnly as u8 => {
+                    m if m == FeedProxyMode::Down as u8 => drop(caller),
+                    m if m == FeedProxyMode::Silent as u8 => open.push(caller),
+                    m if m == FeedProxyMode::HeadOnly as u8 => {
                         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
                         // A caller that has disconnected isn't kept.
                         if caller.write_all(head.as_bytes()).is_ok() {
@@ -122,7 +123,7 @@
         FeedProxy { address, mode, calls }
     }
 
-    pub fn set(&self, mode: DiscoveryMode) {
+    pub fn set(&self, mode: FeedProxyMode) {
         self.mode.store(mode as u8, Ordering::SeqCst);
     }
 
@@ -139,7 +140,7 @@
     ];
     for (mut from, mut to) in directions {
         thread::spawn(move || {
-            // When either side ends, both are closed.
+            // When either connection ends, both are closed.
             let _ = copy(&mut from, &mut to);
             let _ = (to.shutdown(Shutdown::Both), from.shutdown(Shutdown::Both));
         });
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,7 +15,7 @@
     format!("/* kind=lane-rate,req={req:016x},timeout=20000,owner=sud,ms={ms} */ SELECT a FROM sales_17.orders WHERE ms = {ms}")
 }
 
-/// A listening socket that only the programs accept on.
+/// Binds a listening socket on which only the programs accept connections.
 fn shared_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -31,29 +31,30 @@
 struct OutcomeCounts {
     served: AtomicU64,
     rejected: AtomicU64,
-    /// Requests that crossed the close of their connection: retried once on a new one, as the platform does.
+    /// Requests that were sent while the program was closing their connection. They are retried once on a new
+    /// connection, as the platform does.
     crossed_close: AtomicU64,
 }
 
 /// Whether the program has closed an idle connection.
-fn is_closed(raw: &RawClient) -> bool {
-    raw.stream.set_nonblocking(true).expect("set");
+fn is_closed(client: &RawClient) -> bool {
+    client.stream.set_nonblocking(true).expect("set");
     let is_closed =
-        !matches!(raw.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-    raw.stream.set_nonblocking(false).expect("set");
+        !matches!(client.stream.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+    client.stream.set_nonblocking(false).expect("set");
     is_closed
 }
 
 /// Sends requests as the platform's clients do: one after the other on a connection that is kept for some
 /// time, and checked for a close before each request.
 fn run_client(to: SocketAddr, outcomes: &OutcomeCounts, next_id: &AtomicU64, stop: &AtomicBool) {
-    let mut raw: Option<RawClient> = None;
+    let mut client: Option<RawClient> = None;
     while !stop.load(Ordering::SeqCst) {
         let id = next_id.fetch_add(1, Ordering::SeqCst);
         let mut is_retry = false;
         loop {
-            raw = raw.take_if(|raw| !is_closed(raw));
-            let connection = raw.get_or_insert_with(|| RawClient::connect(to));
+            client = client.take_if(|client| !is_closed(client));
+            let connection = client.get_or_insert_with(|| RawClient::connect(to));
             let sent = std::io::Write::write_all(&mut connection.stream, &query(&sql(id, 10)));
             let mut messages = Vec::new();
             while sent.is_ok() {
@@ -76,7 +77,7 @@
                     );
                     is_retry = true;
                     outcomes.crossed_close.fetch_add(1, Ordering::SeqCst);
-                    raw = None;
+                    client = None;
                     continue;
                 }
             };
@@ -84,12 +85,12 @@
         }
         thread::sleep(Duration::from_millis(3 + id % 7));
         // Opens a new connection from time to time.
-        raw = raw.take_if(|_| !id.is_multiple_of(23));
+        client = client.take_if(|_| !id.is_multiple_of(23));
     }
 }
 
-/// Three consecutive hot restarts under load. Every request gets a response; at most a few cross a close and
-/// are retried.
+/// Three consecutive hot restarts under load. Every request gets a response; at most a few are sent while the
+/// program closes their connection, and are retried.
 #[test]
 fn no_request_is_rejected_or_lost_in_hot_restarts_under_load() {
     let engines: Vec<TimedEngine> = (0..3).map(|_| TimedEngine::start()).collect();
@@ -140,8 +141,8 @@
     let mut send_requests = |count: u64| {
         for _ in 0..count {
             next_id += 1;
-            let mut raw = RawClient::connect(to);
-            assert_eq!(rows(&raw.ask(&sql(next_id, 1))).len(), 1);
+            let mut client = RawClient::connect(to);
+            assert_eq!(rows(&client.ask(&sql(next_id, 1))).len(), 1);
         }
     };
     send_requests(30);
@@ -165,7 +166,8 @@
     });
 }
 
-/// The new process dies before it is healthy, and another one after: the old process continues to serve.
+/// One new process dies before it is healthy, and another one after it is: the old process continues to
+/// serve.
 #[test]
 fn old_process_continues_to_serve_when_the_new_one_dies() {
     let engine = TimedEngine::start();
@@ -182,7 +184,7 @@
             wait_until(|| (outcomes.served.load(Ordering::SeqCst) >= before + count).then_some(()));
         };
         wait_for_served(100);
-        // The process listens, and has not yet answered a health check.
+        // This process listens, and dies before it has answered a health check.
         let mut early = Program::start_on_shared_listener(&listener, &folder, &engines);
         early.kill();
         wait_for_served(100);
@@ -195,7 +197,7 @@
         wait_for_served(100);
         stop.store(true, Ordering::SeqCst);
     });
-    assert!(first.running() && is_healthy(&first));
+    assert!(first.is_running() && is_healthy(&first));
     first.terminate();
     assert_eq!(first.wait_for_exit(), Some(0));
 }
@@ -209,13 +211,13 @@
     let folder = scratch_dir();
     let mut first = Program::start_on_shared_listener(&listener, &folder, &engines);
     wait_until(|| is_healthy(&first).then_some(()));
-    let mut raw = RawClient::connect(to);
-    assert_eq!(rows(&raw.ask(&sql(1, 1))).len(), 1);
+    let mut client = RawClient::connect(to);
+    assert_eq!(rows(&client.ask(&sql(1, 1))).len(), 1);
     let successor = Program::start_on_shared_listener(&listener, &folder, &engines);
     wait_until(|| is_healthy(&successor).then_some(()));
     first.kill();
-    let mut raw = RawClient::connect(to);
-    assert_eq!(rows(&raw.ask(&sql(2, 1))).len(), 1);
+    let mut client = RawClient::connect(to);
+    assert_eq!(rows(&client.ask(&sql(2, 1))).len(), 1);
     successor.wait_line("hot restart process is unresponsive remaining_processes=0 ");
     assert!(successor
         .lines()
@@ -223,7 +225,7 @@
         .any(|l| l.ends_with("hot restart phase changed phase=Serving budget_parts=1")));
 }
 
-/// Damaged files, and files of other programs, cause at most a log line.
+/// Damaged state files, and files of other programs in the state folder, cause at most a log line.
 #[test]
 fn damaged_and_foreign_files_are_ignored() {
     let engine = Engine::echo();
