--- a/tests/measure_capture.rs
+++ b/tests/measure_capture.rs
@@ -1,6 +1,6 @@
 //! Cost of recording in the running program, as ratios within one run: processor time with the recorder on
 //! relative to off, of the whole process and of the serving thread, and bytes per request. The test is
-//! ignored by default, and needs `--nocapture` to show its results.
+//! ignored by default: `cargo test --release --test measure_capture -- --ignored --nocapture`.
 mod support;
 
 use std::thread;
--- a/tests/measure_plumbing.rs
+++ b/tests/measure_plumbing.rs
@@ -1,7 +1,6 @@
 //! Compares two builds of the program, as ratios within one run: processor time of a start, a request and a
-//! control feed event, and memory after the start and after the load. The test is ignored by default. It
-//! needs the paths of the two programs in `SPRUCELINK_BEFORE` and `SPRUCELINK_AFTER`, and `--nocapture` to
-//! show its table.
+//! control feed event, and memory after the start and after the load. The test is ignored by default:
+//! `SPRUCELINK_BEFORE=PATH SPRUCELINK_AFTER=PATH cargo test --test measure_plumbing -- --ignored --nocapture`.
 mod support;
 
 use std::os::unix::fs::PermissionsExt;
