--- a/crates/policy/src/class_estimates.rs
+++ b/crates/policy/src/class_estimates.rs
@@ -23,10 +23,10 @@
 const INITIAL_LATENCY_RATIO: f64 = 2.0;
 /// Initial ratio of latency times threads to the estimated cost, on an engine without load.
 const INITIAL_UNLOADED_RATIO: f64 = 1.0;
-/// Factor on the unloaded ratio after an answer with a higher ratio. With [`QUANTILE_DOWN`], one quicker
-/// answer weighs as much as three slower ones, so the ratio settles near the lower quartile.
+/// Factor on the unloaded ratio after an answer whose own ratio is higher. With [`QUANTILE_DOWN`], one
+/// quicker answer weighs as much as three slower ones, so the ratio settles near the lower quartile.
 const QUANTILE_UP: f64 = 1.01;
-/// Factor on the unloaded ratio after an answer whose ratio is not higher.
+/// Factor on the unloaded ratio after an answer whose own ratio is at most the unloaded ratio.
 const QUANTILE_DOWN: f64 = 0.97;
 
 /// The learned costs and latencies of one class. Ratios are relative to a request's estimated cost.
@@ -37,10 +37,10 @@
     cost_samples: u32,
     /// Moving average of the ratio of the work reported in answers to the estimated work.
     work_ratio: MovingAverage,
-    /// Lower quartile of the ratio of latency times threads to the estimated cost: as on an engine without
-    /// load.
+    /// Ratio of latency times threads to the estimated cost on an engine without load, taken as the lower
+    /// quartile.
     unloaded_ratio: f64,
-    /// Moving average of the ratio of latency times threads to the estimated cost: at the current load.
+    /// Ratio of latency times threads to the estimated cost at the current load, a moving average.
     latency_ratio: MovingAverage,
 }
 
--- a/crates/policy/src/engine_eligibility.rs
+++ b/crates/policy/src/engine_eligibility.rs
@@ -21,7 +21,7 @@
     if !is_placement_allowed(class, engine.kind(), engine.zone()) {
         return Some(IneligibleReason::WrongPlacement);
     }
-    let first = request.first_may_have_run.map(|(_, engine)| &fleet.engines[engine]);
+    let first = request.first_possible_run.map(|(_, engine)| &fleet.engines[engine]);
     if !is_retry_deduplicated(class, first, engine) {
         return Some(IneligibleReason::OutsideDedupGroup);
     }
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -174,12 +174,12 @@
     pub(crate) fn update_ejection(
         &mut self,
         now: Timestamp,
-        in_flight: u32,
+        attempts_in_flight: u32,
         relative_slowness: f64,
         is_zone_unreachable: bool,
     ) -> bool {
         let is_majority_overdue =
-            self.overdue_attempts >= MIN_OVERDUE_ATTEMPTS && self.overdue_attempts * 2 >= in_flight;
+            self.overdue_attempts >= MIN_OVERDUE_ATTEMPTS && self.overdue_attempts * 2 >= attempts_in_flight;
         self.is_unresponsive |= is_majority_overdue && now - self.last_response > MAX_SILENCE;
         let margin = if self.is_ejected { READMISSION_FACTOR } else { 1.0 };
         let is_failing = self.failure_rate.value() > MAX_FAILURE_RATE * margin;
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -27,9 +27,9 @@
     reported_at: Option<Timestamp>,
     /// Queries that wait for memory according to the last report.
     queries_waiting: f64,
-    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
-    /// cores were busy.
-    is_saturated: bool,
+    /// Whether the last report shows nearly all cores busy but not how many threads wait for the cores: it
+    /// had only the fraction of busy cores and no number of queries.
+    is_excess_load_unknown: bool,
     /// Own threads on the engine, averaged over ticks because reports lag behind.
     average_own_threads: MovingAverage,
 }
@@ -45,10 +45,10 @@
         self.queries_waiting
     }
 
-    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
-    /// cores were busy.
-    pub(crate) fn is_saturated(&self) -> bool {
-        self.is_saturated
+    /// Whether the last report shows nearly all cores busy but not how many threads wait for the cores: it
+    /// had only the fraction of busy cores and no number of queries.
+    pub(crate) fn is_excess_load_unknown(&self) -> bool {
+        self.is_excess_load_unknown
     }
 
     /// Seconds since the last report; `None` if there was none.
@@ -95,7 +95,7 @@
     ) {
         self.reported_at = Some(now);
         self.queries_waiting = report.queries_waiting_for_memory.unwrap_or(0.0);
-        self.is_saturated = report.queries_in_flight.is_none()
+        self.is_excess_load_unknown = report.queries_in_flight.is_none()
             && threads.is_some_and(|threads| threads > SATURATED_CORE_FRACTION * cores);
         let own_threads = self.average_own_threads.value();
         self.others_threads = match threads {
@@ -108,7 +108,7 @@
         stored.others_threads = self.others_threads;
         stored.reported_at = self.reported_at;
         stored.waiting = self.queries_waiting;
-        stored.saturated = self.is_saturated;
+        stored.saturated = self.is_excess_load_unknown;
         stored.average_threads = self.average_own_threads;
     }
 
@@ -117,7 +117,7 @@
             others_threads: stored.others_threads,
             reported_at: stored.reported_at,
             queries_waiting: stored.waiting,
-            is_saturated: stored.saturated,
+            is_excess_load_unknown: stored.saturated,
             average_own_threads: stored.average_threads,
         }
     }
@@ -137,7 +137,7 @@
 ) -> f64 {
     // A report of nearly all cores busy, without a number of queries, does not show how many threads wait for
     // the cores.
-    let reported_of_others = match load.is_saturated {
+    let reported_of_others = match load.is_excess_load_unknown {
         true => load.others_threads.max(even_of_others),
         false => load.others_threads,
     };
--- a/crates/policy/src/engine_load/tests.rs
+++ b/crates/policy/src/engine_load/tests.rs
@@ -31,7 +31,7 @@
 fn saturated_cores_count_as_at_least_the_even_load() {
     let busy = LoadReport { busy_core_fraction: Some(0.9), ..LoadReport::default() };
     let load = load_with_report(busy, Some(9.0));
-    assert!(load.is_saturated());
+    assert!(load.is_excess_load_unknown());
     assert_eq!(estimated_threads(0.0, 5.0, 30.0, 1.0, &load), 30.0);
     assert_eq!(estimated_threads(0.0, 5.0, 6.0, 1.0, &load), 9.0);
 }
--- a/crates/policy/src/fleet_view.rs
+++ b/crates/policy/src/fleet_view.rs
@@ -45,7 +45,8 @@
         self.capacity_fraction(engine) >= 1.0
     }
 
-    /// Weight of an engine's last load report, 0 to 1.
+    /// Weight of an engine's last load report in the estimate of its threads: 1 when just received, falling
+    /// with the report's age; 0 without a report.
     pub(crate) fn report_weight(&self, engine: &Engine) -> f64 {
         engine.load.report_weight(self.now)
     }
--- a/crates/policy/src/level_price.rs
+++ b/crates/policy/src/level_price.rs
@@ -27,7 +27,7 @@
     /// Requests admitted since the last update of the prices.
     admitted: u32,
     /// Whether a wait was observed since the last update of the prices.
-    is_observed: bool,
+    has_observed_wait: bool,
 }
 
 impl LevelPrice {
@@ -53,7 +53,7 @@
     /// Learns from the wait of a request at this level.
     pub(crate) fn observe_wait(&mut self, wait_secs: f64) {
         self.wait_secs += WAIT_WEIGHT * (wait_secs - self.wait_secs);
-        self.is_observed = true;
+        self.has_observed_wait = true;
     }
 
     /// Limits the expected wait to the wait of a lower level, since engines serve this level first.
@@ -75,8 +75,8 @@
         let rate = f64::from(self.admitted) / interval.as_secs_f64();
         self.admitted_rate.update(rate, RATE_WEIGHT);
         self.admitted = 0;
-        self.wait_secs *= if self.is_observed { 1.0 } else { WAIT_DECAY.powf(evidence) };
-        self.is_observed = false;
+        self.wait_secs *= if self.has_observed_wait { 1.0 } else { WAIT_DECAY.powf(evidence) };
+        self.has_observed_wait = false;
     }
 
     pub(crate) fn to_stored(self) -> StoredLevel {
@@ -85,7 +85,7 @@
             admitted_rate: self.admitted_rate,
             wait: self.wait_secs,
             admitted: self.admitted,
-            observed: self.is_observed,
+            observed: self.has_observed_wait,
         }
     }
 
@@ -95,7 +95,7 @@
             admitted_rate: stored.admitted_rate,
             wait_secs: stored.wait,
             admitted: stored.admitted,
-            is_observed: stored.observed,
+            has_observed_wait: stored.observed,
         }
     }
 }
--- a/crates/policy/src/memory_grant.rs
+++ b/crates/policy/src/memory_grant.rs
@@ -18,14 +18,14 @@
 const MAX_MEMORY_SAMPLES: u32 = 50;
 /// Variance of the logarithm of memory used over estimated, before the first answer.
 const INITIAL_MEMORY_VARIANCE: f64 = 0.25;
-/// Standard deviations of the log ratio that a grant adds to the mean, on engines where a query waits while
-/// memory is short.
+/// Number of standard deviations by which the logarithm of the ratio of grant to estimate exceeds the mean
+/// log ratio, on engines where a query waits while memory is short.
 const DEVIATIONS_WHERE_QUERIES_WAIT: f64 = 0.5;
-/// Standard deviations of the log ratio that a grant adds to the mean, on engines where a query gets less
-/// memory than granted and spills.
+/// Number of standard deviations by which the logarithm of the ratio of grant to estimate exceeds the mean
+/// log ratio, on engines where, when memory is short, a query gets less than granted and spills.
 const DEVIATIONS_WHERE_GRANTS_SHRINK: f64 = 0.7;
-/// Standard deviations of the log ratio that a grant adds to the mean, on engines that page when memory is
-/// short, which slows down all queries.
+/// Number of standard deviations by which the logarithm of the ratio of grant to estimate exceeds the mean
+/// log ratio, on engines that page when memory is short, which slows down all queries.
 const DEVIATIONS_WHERE_ENGINES_PAGE: f64 = 2.0;
 
 /// Learns how much memory queries of one class use, relative to their estimates.
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -115,8 +115,8 @@
         for (id, engine) in engines.iter_mut() {
             let slowness = engine.health.slowness().relative_to(self.median_log_slowness);
             let is_zone_unreachable = self.next_trial_of_unreachable(engine.zone()).is_some();
-            let in_flight = engine.own_attempts();
-            if engine.health.update_ejection(now, in_flight, slowness, is_zone_unreachable) {
+            let attempts_in_flight = engine.own_attempts();
+            if engine.health.update_ejection(now, attempts_in_flight, slowness, is_zone_unreachable) {
                 log_ejection_change(id, &engine.health, slowness, out);
             }
         }
--- a/crates/policy/src/policy/attempts.rs
+++ b/crates/policy/src/policy/attempts.rs
@@ -84,7 +84,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.in_flight.take_if(|attempt| attempt.number == number) else { return };
         if !ended.outcome.never_ran() {
-            request.first_may_have_run.get_or_insert((attempt.sent_at, attempt.engine));
+            request.first_possible_run.get_or_insert((attempt.sent_at, attempt.engine));
         }
         request.errors += u32::from(ended.outcome == Outcome::EngineError);
         request.is_answered |= ended.is_request_over;
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -158,7 +158,7 @@
     pub(super) fn respond(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered) else { return };
         self.explain_response(id, out);
-        let may_have_run = request.in_flight.is_some() || request.first_may_have_run.is_some();
+        let may_have_run = request.in_flight.is_some() || request.first_possible_run.is_some();
         let response = FinalResponse::choose(&self.settings.classes[request.class], may_have_run);
         out.push(response.into_action(id, self.retry_after(request)));
         self.finish(id, out);
--- a/crates/policy/src/probe_credit.rs
+++ b/crates/policy/src/probe_credit.rs
@@ -3,7 +3,7 @@
 use crate::settings::{ClassSettings, Settings};
 use crate::snapshot::StoredPolicy;
 
-/// Value that may be spent on load probes, as a fraction of the value of all requests.
+/// Value that a request earns for load probes, as a fraction of the value of one query.
 const PROBE_BUDGET: f64 = 0.01;
 /// Minimum number of engines that a query of several threads chooses among.
 pub(crate) const MIN_CANDIDATES: usize = 2;
@@ -18,7 +18,7 @@
 
 impl ProbeCredit {
     /// Adds the probes that an arrived request earns: [`PROBE_BUDGET`] divided by the price of a probe, at
-    /// most [`MIN_CANDIDATES`], since one request uses no more.
+    /// most [`MIN_CANDIDATES`] probes for one request, also if probes cost nothing.
     pub(crate) fn earn(&mut self, probe_price: f64) {
         let min_candidates = MIN_CANDIDATES as f64;
         let earned = PROBE_BUDGET / probe_price.max(PROBE_BUDGET / min_candidates);
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -49,7 +49,7 @@
     /// Attempts that ended with an engine's error.
     pub(crate) errors: u32,
     /// Send time and engine of the first attempt that may have run.
-    pub(crate) first_may_have_run: Option<(Timestamp, EngineId)>,
+    pub(crate) first_possible_run: Option<(Timestamp, EngineId)>,
     pub(crate) in_flight: Option<Attempt>,
     pub(crate) last_engine: Option<EngineId>,
     /// Time until which the request waits for the load probes that were sent for it.
@@ -78,7 +78,7 @@
             level: 0,
             attempts: 0,
             errors: 0,
-            first_may_have_run: None,
+            first_possible_run: None,
             in_flight: None,
             last_engine: None,
             probes_until: now,
@@ -93,7 +93,7 @@
         AttemptHistory {
             attempts: self.attempts,
             is_in_flight: self.in_flight.is_some(),
-            may_have_run_since: self.first_may_have_run.map(|(sent_at, _)| sent_at),
+            may_have_run_since: self.first_possible_run.map(|(sent_at, _)| sent_at),
             deadline: self.deadline,
         }
     }
--- a/crates/policy/tests/cold_fleet.rs
+++ b/crates/policy/tests/cold_fleet.rs
@@ -185,10 +185,10 @@
     actual_work: Vec<f64>,
     /// Attempts in flight by time of their end, with request, number and outcome.
     in_flight: VecDeque<(Timestamp, RequestId, u32, Outcome)>,
-    /// Number of requests without a first attempt.
-    untried_requests: usize,
-    /// Whether the request has no first attempt yet, by id.
-    is_untried: Vec<bool>,
+    /// Number of requests that wait for their first attempt.
+    requests_awaiting_first_attempt: usize,
+    /// Whether a request waits for its first attempt, by id.
+    awaits_first_attempt: Vec<bool>,
     /// Events to come, by time.
     events: VecDeque<(Timestamp, ProcessEvent)>,
 }
@@ -207,8 +207,8 @@
             classes: Vec::new(),
             actual_work: Vec::new(),
             in_flight: VecDeque::new(),
-            untried_requests: 0,
-            is_untried: Vec::new(),
+            requests_awaiting_first_attempt: 0,
+            awaits_first_attempt: Vec::new(),
             events: VecDeque::new(),
         }
     }
@@ -228,18 +228,20 @@
                     let attempt = self.policy.in_flight_attempt(id).expect("the attempt was just sent").0;
                     let outcome = if is_refused { Outcome::ConnectFailed } else { Outcome::Succeeded };
                     self.in_flight.push_back((now + RESPONSE_TIME, id, attempt, outcome));
-                    self.mark_tried(id);
+                    self.stop_awaiting_first_attempt(id);
                 }
-                Action::Reject { id, .. } | Action::Fail { id, .. } => self.mark_tried(id),
+                Action::Reject { id, .. } | Action::Fail { id, .. } => self.stop_awaiting_first_attempt(id),
                 _ => {}
             }
         }
     }
 
-    /// A request no longer waits for its first attempt. A request whose connection was refused waits for a
-    /// retry and is not counted, so that new requests are submitted.
-    fn mark_tried(&mut self, id: RequestId) {
-        self.untried_requests -= usize::from(std::mem::take(&mut self.is_untried[id.0 as usize]));
+    /// Removes a request from the count of those that wait for their first attempt: the request was sent,
+    /// rejected or failed. A request whose connection was refused waits for a retry and is not in that count,
+    /// so that new requests are submitted.
+    fn stop_awaiting_first_attempt(&mut self, id: RequestId) {
+        self.requests_awaiting_first_attempt -=
+            usize::from(std::mem::take(&mut self.awaits_first_attempt[id.0 as usize]));
     }
 
     /// Submits one request of a random class. `bias`: ratio of its estimated to its actual work.
@@ -250,8 +252,8 @@
         self.next_id += 1;
         self.classes.push(class);
         self.actual_work.push(work);
-        self.untried_requests += 1;
-        self.is_untried.push(true);
+        self.requests_awaiting_first_attempt += 1;
+        self.awaits_first_attempt.push(true);
         let arrival = Arrival {
             id,
             class: ClassId(class),
@@ -292,7 +294,7 @@
         self.complete_due_attempts(now, is_engine_down, sent_classes);
         // A process that knows no engine rejects requests at once, so the number of submissions per tick is
         // bounded.
-        for _ in self.untried_requests..12 {
+        for _ in self.requests_awaiting_first_attempt..12 {
             self.submit(now, bias, is_engine_down, sent_classes);
         }
         self.handle(now, Event::Timer { token: 0 }, is_engine_down, sent_classes);
@@ -305,11 +307,11 @@
 struct WindowStatistics {
     /// Maximum over the windows of the work divided by the bound, N + 2 √N + 2; at most 1 if the rule holds.
     max_over_bound: f64,
-    /// Work in the window of that maximum, in requests of mean work.
+    /// Work in the window with the maximum, in requests of mean work.
     work_at_max: f64,
-    /// N of that window.
+    /// Budget of the window with the maximum, in requests of mean work.
     budget_at_max: f64,
-    /// Start of that window, in seconds after the start of the engine.
+    /// Start of the window with the maximum, in seconds after the start of the engine.
     start_secs_of_max: f64,
     /// Mean of the work divided by N, over the windows after all managers are notified.
     mean_over_budget: f64,
--- a/crates/policy/tests/pricing.rs
+++ b/crates/policy/tests/pricing.rs
@@ -3,7 +3,8 @@
 use common::*;
 use sprucelink_policy::*;
 
-/// Ten queries of half a second each are forwarded at the lowest level; one is answered after 0.98 s.
+/// Ten queries of half a thread-second of work each are forwarded at the lowest level; one is answered after
+/// 0.98 s.
 fn manager_after_one_interval() -> TestManager {
     let long_objective =
         ClassSettings { latency_objective: TimeDelta::from_secs_f64(10.0), ..class(Effect::Safe) };
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -28,7 +28,7 @@
     in_flight: Option<(u32, EngineId)>,
     sent_at: Timestamp,
     /// Send time and engine of the first attempt that may have run.
-    first_may_have_run: Option<(Timestamp, EngineId)>,
+    first_possible_run: Option<(Timestamp, EngineId)>,
     final_responses: u32,
     responded_at: Option<Timestamp>,
 }
@@ -66,7 +66,7 @@
                     let is_rejection = matches!(action, Action::Reject { .. });
                     if class.effect != Effect::Safe && !is_deduplicated && is_rejection {
                         assert!(
-                            request.in_flight.is_none() && request.first_may_have_run.is_none(),
+                            request.in_flight.is_none() && request.first_possible_run.is_none(),
                             "a rejection promises that nothing ran"
                         );
                     }
@@ -108,7 +108,7 @@
     fn check_retry(&mut self, now: Timestamp, id: RequestId, engine: EngineId) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let Some((first_sent_at, first_engine)) = request.first_may_have_run else { return };
+        let Some((first_sent_at, first_engine)) = request.first_possible_run else { return };
         match class.effect {
             Effect::Safe => {}
             Effect::Keyed => {
@@ -294,7 +294,7 @@
             let now = manager.now;
             let request = checker.requests.get_mut(&id).expect("a known request");
             if let Some((_, engine)) = request.in_flight.take().filter(|_| !outcome.never_ran()) {
-                request.first_may_have_run.get_or_insert((request.sent_at, engine));
+                request.first_possible_run.get_or_insert((request.sent_at, engine));
             }
             if outcome == Outcome::Succeeded && request.final_responses == 0 {
                 request.final_responses = 1;
@@ -408,7 +408,7 @@
             let request = checker.requests.get_mut(&id).expect("a known request");
             request.in_flight = None;
             if !outcome.never_ran() {
-                request.first_may_have_run.get_or_insert((request.sent_at, engine));
+                request.first_possible_run.get_or_insert((request.sent_at, engine));
             }
             if outcome == Outcome::Succeeded && request.final_responses == 0 {
                 (request.final_responses, request.responded_at) = (1, Some(now));
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One short test for each rule, through the public interface.
+//! The rules of the decision module, tested through its public interface.
 mod common;
 use common::*;
 use sprucelink_policy::*;
