--- a/crates/membership/src/retry_budget_pool/tests.rs
+++ b/crates/membership/src/retry_budget_pool/tests.rs
@@ -7,11 +7,11 @@
 
 #[test]
 fn member_gets_an_equal_part_of_the_retries_that_others_have_left() {
-    let idle = GossipPayload { admitted_requests: 100, ..GossipPayload::default() };
+    let without_retries = GossipPayload { admitted_requests: 100, ..GossipPayload::default() };
     let exhausted = GossipPayload { admitted_requests: 100, retries: 13, ..GossipPayload::default() };
     assert_eq!(spare_retries(BUDGET, &[], 1), 0.0);
     assert_eq!(spare_retries(BUDGET, &[&exhausted, &exhausted], 3), 0.0);
-    let spare = spare_retries(BUDGET, &[&idle, &idle, &exhausted], 4);
+    let spare = spare_retries(BUDGET, &[&without_retries, &without_retries, &exhausted], 4);
     assert!((spare - 13.0 * 2.0 * 0.5 / 4.0).abs() < 1e-9);
 }
 
--- a/crates/membership/src/swim/anti_entropy.rs
+++ b/crates/membership/src/swim/anti_entropy.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Schedule and peers of view comparisons.
+/// When to compare views, with which members, and how many complete views may be sent.
 #[derive(Clone, Debug)]
 pub(super) struct AntiEntropy {
     seeds: Vec<SocketAddr>,
--- a/crates/membership/src/swim/event.rs
+++ b/crates/membership/src/swim/event.rs
@@ -17,7 +17,7 @@
     Suspected,
     /// The member refuted a suspicion or a declaration of its death.
     Refuted,
-    /// The member's suspicion expired, or another member declared it dead.
+    /// The suspicion against the member expired, or another member declared it dead.
     Died,
     /// The member announced that it is leaving, and left.
     Left,
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -296,7 +296,8 @@
         suspicions.map(|suspicion| suspicion.next_deadline(interval)).min()
     }
 
-    /// Returns the suspects for which a final probe is due, and counts these probes as sent.
+    /// Returns the suspects for which a final probe (one of several before a suspicion expires) is due, and
+    /// counts these probes as sent.
     pub(super) fn take_final_probe_targets(
         &mut self,
         now: Timestamp,
