--- a/crates/hot-restart/src/state_file_driver.rs
+++ b/crates/hot-restart/src/state_file_driver.rs
@@ -31,8 +31,8 @@
     is_valid: bool,
 }
 
-/// The last attempt to write the process's own file, with the phase and the processes sharing its budgets
-/// that the file announced.
+/// The last attempt to write the process's own file, and what that file announced: the phase, and the
+/// processes with which the budgets are shared.
 #[derive(Clone, Debug)]
 struct WriteAttempt {
     attempted_at: Timestamp,
@@ -101,8 +101,8 @@
     }
 
     /// Like [`StateFileDriver::open`], but converts the times in other processes' files to this process's
-    /// `clock_reference`, so that they are correct even if the wall clock was stepped between the starts of the
-    /// processes.
+    /// `clock_reference`, so that they are correct even if the wall clock was stepped between the starts of
+    /// the processes.
     pub fn open_with_clock(
         folder: F,
         instance: Instance,
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -11,7 +11,7 @@
 /// Smaller differences result from the order in which the clock is read and the file is written.
 pub const CLOCK_SLACK: TimeDelta = TimeDelta::from_secs(1);
 
-/// Durations of the windows over which the rules count.
+/// Durations of the windows of the retry budget and of the engines' slow-start budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowSpans {
     /// Window over which the retry budget counts retries and admitted requests.
@@ -20,10 +20,10 @@
     pub slow_start: TimeDelta,
 }
 
-/// Age of a file relative to the windows of the rules.
+/// Age of a file relative to the windows of the budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileAge {
-    /// The file was written within the longest window of the rules.
+    /// The file was written within the longest window of the budgets.
     Fresh,
     /// The file is older than the longest window: only its cordons and engine ids still apply.
     Stale,
