--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -53,5 +53,5 @@
 };
 pub use state::{BUCKET_SPAN, MAX_BUCKETS, MAX_NAME_BYTES, MAX_SHARING_PEERS, MAX_WARMING_ENGINES};
 pub use state_file_driver::{FolderScan, StateFileDriver, WriteReport, SCAN_INTERVAL, WRITE_INTERVAL};
-pub use usable_state::{usable_state, FileAge, UsableState, WarmupSend, WindowSpans, CLOCK_SLACK};
+pub use usable_state::{usable_state, FileAge, SentWarmupWork, UsableState, WindowSpans, CLOCK_SLACK};
 pub use window_counters::WindowCounters;
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -34,7 +34,7 @@
 
 /// Work that another process sent to a warming engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WarmupSend {
+pub struct SentWarmupWork {
     /// Id of the engine.
     pub engine: String,
     /// Latest time at which the work can have been sent.
@@ -63,7 +63,7 @@
     /// from the future: these requests enlarge the budget, and their times are unknown.
     pub admitted: Vec<(Timestamp, u32)>,
     /// Work sent to warming engines within the slow-start window.
-    pub warmup: Vec<WarmupSend>,
+    pub warmup: Vec<SentWarmupWork>,
 }
 
 /// Returns the part of a file that still applies at `now`. If the exact time of a count is unknown, the
@@ -116,12 +116,12 @@
 fn usable_warmup(
     loads: &[WarmupLoad],
     usable_time: impl Fn(Timestamp) -> Option<Timestamp>,
-) -> Vec<WarmupSend> {
+) -> Vec<SentWarmupWork> {
     let mut sends = Vec::new();
     for load in loads {
         for bucket in load.buckets.iter().filter(|bucket| bucket.work_ms > 0) {
             if let Some(sent_at) = usable_time(bucket.start) {
-                sends.push(WarmupSend { engine: load.engine.clone(), sent_at, work_ms: bucket.work_ms });
+                sends.push(SentWarmupWork { engine: load.engine.clone(), sent_at, work_ms: bucket.work_ms });
             }
         }
     }
