--- a/crates/history-checker/src/config.rs
+++ b/crates/history-checker/src/config.rs
@@ -51,7 +51,8 @@
     /// Time without a command after which an engine counts as unavailable since its last command, in
     /// milliseconds; 0 disables the rule. It must be far longer than the gaps between an engine's commands
     /// under the run's load.
-    pub quiet_ms: u64,
+    #[serde(rename = "quiet_ms")]
+    pub max_command_gap_ms: u64,
     /// Time for which a subscriber's lease remains valid after its connection is closed, in milliseconds.
     pub lease_ms: u64,
     /// Time after an operation's acknowledgement in which the operation may still be missing from all
@@ -65,7 +66,7 @@
             budgets: Vec::new(),
             notice_ms: 1_000,
             halt_ms: 1_000,
-            quiet_ms: 0,
+            max_command_gap_ms: 0,
             lease_ms: 10_000,
             settle_ms: 2_000,
         }
@@ -100,7 +101,7 @@
         let bounds = [
             ("notice_ms", self.notice_ms),
             ("halt_ms", self.halt_ms),
-            ("quiet_ms", self.quiet_ms),
+            ("quiet_ms", self.max_command_gap_ms),
             ("lease_ms", self.lease_ms),
             ("settle_ms", self.settle_ms),
         ];
--- a/crates/history-checker/src/outages.rs
+++ b/crates/history-checker/src/outages.rs
@@ -53,8 +53,8 @@
 pub fn outages(history: &[HistoryEntry], config: &CheckConfig) -> Vec<Outage> {
     let mut outages = manager_outages(history);
     outages.extend(injected_outages(history));
-    if config.quiet_ms > 0 {
-        outages.extend(idle_engines(history, config.quiet_ms * 1_000));
+    if config.max_command_gap_ms > 0 {
+        outages.extend(idle_engines(history, config.max_command_gap_ms * 1_000));
     }
     outages.sort_by(|a, b| (a.from, &a.member).cmp(&(b.from, &b.member)));
     outages
--- a/crates/history-checker/tests/common/mod.rs
+++ b/crates/history-checker/tests/common/mod.rs
@@ -21,7 +21,7 @@
         budgets: vec![budget(MemberKind::Managers), budget(MemberKind::Engines)],
         notice_ms: 0,
         halt_ms: 200,
-        quiet_ms: 120,
+        max_command_gap_ms: 120,
         ..CheckConfig::default()
     }
 }
