--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -43,7 +43,7 @@
 
 /// Largest number of unanswered append messages to one member. At this number the leader waits for a
 /// response.
-pub const MAX_INFLIGHT_MESSAGES: usize = 64;
+pub const MAX_INFLIGHT_APPENDS_PER_MEMBER: usize = 64;
 
 /// Largest size of committed entries handed out at a time, bytes; the rest follows with the next `ready`.
 pub const MAX_COMMITTED_BYTES: u64 = 1 << 20;
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -6,7 +6,9 @@
 use crate::alarm::QuarantineReason;
 use crate::config::{Config, Timing};
 use crate::ids::MemberId;
-use crate::limits::{MAX_APPEND_BYTES, MAX_COMMITTED_BYTES, MAX_INFLIGHT_MESSAGES, MAX_UNCOMMITTED_BYTES};
+use crate::limits::{
+    MAX_APPEND_BYTES, MAX_COMMITTED_BYTES, MAX_INFLIGHT_APPENDS_PER_MEMBER, MAX_UNCOMMITTED_BYTES,
+};
 use crate::log_storage::LogStorage;
 use crate::membership::{Membership, VersionedMembership};
 use crate::peer_table::PeerTable;
@@ -153,7 +155,7 @@
         heartbeat_tick: config.timing.heartbeat_ticks as usize,
         applied,
         max_size_per_msg: MAX_APPEND_BYTES,
-        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        max_inflight_msgs: MAX_INFLIGHT_APPENDS_PER_MEMBER,
         check_quorum: true,
         pre_vote: true,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
