--- a/crates/consensus/src/sim/recorder.rs
+++ b/crates/consensus/src/sim/recorder.rs
@@ -22,7 +22,7 @@
 pub struct ProposalRecorder {
     dedup: ProposalDedup,
     /// Number of times that each proposal was applied.
-    pub applied: BTreeMap<ProposalId, u32>,
+    pub apply_counts: BTreeMap<ProposalId, u32>,
     digest: u64,
     /// Whether duplicates are applied too, as an injected bug.
     applies_duplicates: bool,
@@ -55,7 +55,7 @@
         if dedup != Dedup::New && !self.applies_duplicates {
             return;
         }
-        *self.applied.entry(entry.id).or_default() += 1;
+        *self.apply_counts.entry(entry.id).or_default() += 1;
         self.digest = chain_entry(self.digest, entry);
     }
 
@@ -66,7 +66,7 @@
             bytes.extend_from_slice(&number.to_le_bytes());
         }
         bytes.extend_from_slice(&dedup);
-        for (id, count) in &self.applied {
+        for (id, count) in &self.apply_counts {
             for number in [id.origin, id.sequence, u64::from(*count)] {
                 bytes.extend_from_slice(&number.to_le_bytes());
             }
@@ -85,7 +85,7 @@
         for record in bytes[dedup_end..].chunks_exact(APPLIED_RECORD_BYTES) {
             let id =
                 ProposalId { origin: read_number(record, 0), sequence: read_number(record, NUMBER_BYTES) };
-            self.applied.insert(id, read_number(record, 2 * NUMBER_BYTES) as u32);
+            self.apply_counts.insert(id, read_number(record, 2 * NUMBER_BYTES) as u32);
         }
     }
 
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -85,13 +85,13 @@
             if !membership.contains(member) || !host.is_established() {
                 continue;
             }
-            let applied = &host.state_machine.applied;
-            let mut lost = checker.reported_committed.iter().filter(|(id, _)| !applied.contains_key(id));
+            let apply_counts = &host.state_machine.apply_counts;
+            let mut lost = checker.reported_committed.iter().filter(|(id, _)| !apply_counts.contains_key(id));
             if let Some((&id, &index)) = lost.next() {
                 let last_committed = checker.last_committed();
                 violations.push(ViolationKind::ProposalLost { member, id, index, last_committed });
             }
-            if let Some((&id, &count)) = applied.iter().find(|(_, &count)| count != 1) {
+            if let Some((&id, &count)) = apply_counts.iter().find(|(_, &count)| count != 1) {
                 violations.push(ViolationKind::AppliedRepeatedly { member, id, count });
             }
         }
