--- a/crates/consensus/src/node/apply.rs
+++ b/crates/consensus/src/node/apply.rs
@@ -29,15 +29,15 @@
     /// Hands out committed entries and applies the membership changes among them.
     pub(super) fn hand_out_entries(&mut self, entries: &[eraftpb::Entry], ready: &mut Ready) {
         for entry in entries {
-            let mut id = None;
+            let mut proposal_id = None;
             if let Some(change) = convert::decode_conf_change(entry) {
                 self.apply_conf_change(entry.index, change, ready);
             } else if !entry.get_data().is_empty() {
                 let committed = committed_entry(entry);
-                id = Some(committed.id);
+                proposal_id = Some(committed.id);
                 ready.committed_entries.push(committed);
             }
-            self.proposals.entry_committed(entry.index, entry.term, id);
+            self.proposals.entry_committed(entry.index, entry.term, proposal_id);
             self.progress.handed_out = entry.index;
             ready.apply_through = entry.index;
         }
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -181,8 +181,8 @@
         let quorum = if others.is_empty() { 0 } else { others.len() / 2 + 1 };
         let responses: Vec<&RejoinResponse> =
             others.iter().filter_map(|other| self.responses.get(other)).collect();
-        // The quorum doesn't wait for a quarantined member: its response counts, but adds nothing to the
-        // floors.
+        // A quarantined member's response counts here, so that the quorum doesn't wait for the member, but it
+        // is not trusted: a quorum that needs it is weak. `floors` ignores the response.
         let response_count = responses.len();
         let is_trusted = |response: &&&RejoinResponse| response.is_established && !response.is_quarantined;
         let established = responses.iter().filter(is_trusted).count();
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -171,7 +171,7 @@
     pub violation: Option<Violation>,
     /// The first leader of each term.
     leaders: BTreeMap<u64, MemberId>,
-    /// The candidate of each first vote, by its raw member number.
+    /// For each vote key, the raw member number of the candidate for which the key's first vote was sent.
     votes: BTreeMap<VoteKey, u64>,
     /// Members whose disks lost acknowledged writes: each of their boots has one vote per term, and the votes
     /// of older boots don't count.
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessRun {
     pub member: MemberId,
-    /// Number of starts of the process up to this run.
+    /// Number of this run: starts of the process so far, including the start of this run.
     pub start_count: u64,
 }
 
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -75,7 +75,8 @@
 pub(super) enum FaultEnd {
     /// A crashed process restarts.
     Restart(MemberId),
-    /// A process whose disk lies crashes.
+    /// The process of a disk with lying syncs crashes, which loses the data of these syncs; then the disk
+    /// syncs correctly again.
     CrashWithLyingDisk(MemberId),
     /// Cut links deliver messages again.
     RestoreLinks(Vec<Link>),
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -11,7 +11,8 @@
     VoteNotPersisted,
     /// A batch counts as written, and messages that depend on it are sent, before the batch is on disk.
     AckBeforeSync,
-    /// A member trusts its disk when it starts: no acknowledgement check and no floors.
+    /// A member skips the rejoin protocol when it starts: it votes and acknowledges at once, although its
+    /// disk may have lost writes.
     TrustDisk,
     /// Messages don't contain the boots of the members.
     NoBootsInMessages,
