--- a/crates/policy/src/actions.rs
+++ b/crates/policy/src/actions.rs
@@ -21,7 +21,7 @@
     SetExecutionTerms {
         /// Id of the request, as in its [`Arrival`](crate::Arrival).
         id: RequestId,
-        /// Memory in MB; the engine chooses if absent.
+        /// Memory in MB; without it the engine chooses the grant.
         grant_mb: Option<f64>,
         /// Priority level at which engines run the attempts.
         level: Level,
--- a/crates/policy/src/answer_value.rs
+++ b/crates/policy/src/answer_value.rs
@@ -32,7 +32,7 @@
             value: request.value,
             late_value_fraction: class.late_value_fraction,
             objective_secs: latency_objective_secs(request, class, estimates.work_ratio()),
-            patience_secs: (request.deadline - request.arrived).as_secs_f64(),
+            patience_secs: (request.deadline - request.arrived_at).as_secs_f64(),
             class_deadline_secs: class.deadline.as_secs_f64().max(MIN_DEADLINE_SECS),
         }
     }
@@ -61,5 +61,5 @@
 fn latency_objective_secs(request: &Request, class: &ClassSettings, work_ratio: f64) -> f64 {
     let stretch_secs = class.objective_per_work * request.cost * work_ratio / class.threads;
     let objective_secs = class.latency_objective.as_secs_f64() + stretch_secs;
-    objective_secs.min((request.deadline - request.arrived - RESPONSE_MARGIN).as_secs_f64())
+    objective_secs.min((request.deadline - request.arrived_at - RESPONSE_MARGIN).as_secs_f64())
 }
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -34,11 +34,12 @@
     /// Queries that waited for memory on the engine according to the last report.
     #[serde(rename = "waiting")]
     pub queries_waiting_for_memory: f64,
-    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
-    /// cores were busy.
+    /// Whether the last report shows nearly all cores busy but not how many threads wait for the cores: it
+    /// had only the fraction of busy cores and no number of queries.
     #[serde(rename = "full")]
     pub saturated: bool,
-    /// Seconds since the last load report; `None` if there was none.
+    /// Seconds since the last load report, or since the last event after which the engine was assumed to be
+    /// full; `None` if there was neither.
     pub report_age: Option<f64>,
     /// Weight of the last load report, which falls from 1 towards 0 with its age.
     #[serde(rename = "trust_in_report")]
@@ -58,7 +59,7 @@
     pub capacity_fraction: f64,
     /// How many times slower the engine is than the median engine; 1 if either slowness is not known.
     pub slowness: f64,
-    /// Fraction of recent attempts that failed.
+    /// Failure rate, 0 to 1: a moving average over attempts in which a success weighs more than a failure.
     #[serde(rename = "failing")]
     pub failure_rate: f64,
     /// Whether the engine accepts requests but answers none.
--- a/crates/policy/src/engine_health.rs
+++ b/crates/policy/src/engine_health.rs
@@ -26,7 +26,7 @@
 const SUCCESS_WEIGHT: f64 = 0.3;
 /// An engine more than this many times slower than the median is ejected.
 const MAX_SLOWNESS: f64 = 3.5;
-/// Fraction of failed attempts above which an engine is ejected.
+/// Failure rate above which an engine is ejected.
 const MAX_FAILURE_RATE: f64 = 0.4;
 /// Fraction of the ejection bounds below which an ejected engine is readmitted.
 const READMISSION_FACTOR: f64 = 0.5;
@@ -50,7 +50,7 @@
     is_unresponsive: bool,
     /// Overdue attempts of this manager on the engine, counted at each tick.
     overdue_attempts: u32,
-    /// Fraction of recent attempts that failed.
+    /// Failure rate, 0 to 1: a moving average over attempts in which a success weighs more than a failure.
     failure_rate: MovingAverage,
     /// Whether the engine gets only a trial at intervals, unless no eligible engine is healthy.
     is_ejected: bool,
@@ -69,7 +69,7 @@
         self.overdue_attempts
     }
 
-    /// Fraction of recent attempts that failed.
+    /// Failure rate, 0 to 1: a moving average over attempts in which a success weighs more than a failure.
     pub(crate) fn failure_rate(&self) -> f64 {
         self.failure_rate.value()
     }
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -18,7 +18,8 @@
 /// Maximum age of a load report that outweighs an overdue attempt.
 const MAX_TRUSTED_REPORT_AGE: TimeDelta = TimeDelta::from_secs(1);
 
-/// The load of one engine that other managers cause.
+/// What is known of one engine's load apart from this manager's attempts in flight: threads of other managers
+/// and waiting queries by its last report, and the average of own threads that is subtracted from a report.
 #[derive(Clone, Default)]
 pub(crate) struct EngineLoad {
     /// Threads of other managers according to the last report.
@@ -51,7 +52,8 @@
         self.is_excess_load_unknown
     }
 
-    /// Seconds since the last report; `None` if there was none.
+    /// Seconds since the last report, or since the last event after which the engine was assumed to be full;
+    /// `None` if there was neither.
     pub(crate) fn report_age_secs(&self, now: Timestamp) -> Option<f64> {
         self.reported_at.map(|time| (now - time).as_secs_f64())
     }
--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -133,7 +133,8 @@
     pub id: RequestId,
     /// Class of the request: index in [`Settings::classes`](crate::Settings::classes).
     pub class: ClassId,
-    /// Tenant of the client: index in [`Settings::tenants`](crate::Settings::tenants).
+    /// Tenant of the client: index in [`Settings::tenants`](crate::Settings::tenants). A tenant beyond the
+    /// list has no quota.
     pub tenant: usize,
     /// Number of the group of tables that the request reads or writes.
     pub tables: u64,
--- a/crates/policy/src/level_price.rs
+++ b/crates/policy/src/level_price.rs
@@ -17,7 +17,7 @@
 
 /// Pricing state of one class at one level.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct LevelPrice {
+pub(crate) struct LevelPricing {
     /// Price of a request of mean cost, in value.
     price: f64,
     /// Requests admitted per second.
@@ -30,7 +30,7 @@
     has_observed_wait: bool,
 }
 
-impl LevelPrice {
+impl LevelPricing {
     /// Price of a request of mean cost, in value.
     pub(crate) fn price_at_mean_cost(self) -> f64 {
         self.price
@@ -89,8 +89,8 @@
         }
     }
 
-    pub(crate) fn from_stored(stored: StoredLevel) -> LevelPrice {
-        LevelPrice {
+    pub(crate) fn from_stored(stored: StoredLevel) -> LevelPricing {
+        LevelPricing {
             price: stored.price,
             admitted_rate: stored.admitted_rate,
             wait_secs: stored.wait,
--- a/crates/policy/src/pricing.rs
+++ b/crates/policy/src/pricing.rs
@@ -5,7 +5,7 @@
 //! After Konana et al., sections 3.2 to 3.4. Comments give the paper's symbols.
 
 use crate::class_estimates::ClassEstimates;
-use crate::level_price::LevelPrice;
+use crate::level_price::LevelPricing;
 use crate::own_load::{FleetShare, OwnLoad};
 use crate::settings::ClassSettings;
 use crate::snapshot::{StoredClass, StoredPolicy};
@@ -35,7 +35,7 @@
 /// The price and the expected wait of each class at each level.
 #[derive(Clone, Default)]
 pub(crate) struct PriceTable {
-    classes: Vec<[LevelPrice; LEVELS]>,
+    classes: Vec<[LevelPricing; LEVELS]>,
     /// Waits learned since the last price update.
     recent_waits: u32,
 }
@@ -59,7 +59,7 @@
     pub(crate) fn by_level(&self) -> impl Iterator<Item = ([f64; LEVELS], [f64; LEVELS])> + '_ {
         self.classes
             .iter()
-            .map(|levels| (levels.map(LevelPrice::price_at_mean_cost), levels.map(LevelPrice::wait_secs)))
+            .map(|levels| (levels.map(LevelPricing::price_at_mean_cost), levels.map(LevelPricing::wait_secs)))
     }
 
     pub(crate) fn record_admission(&mut self, class: usize, level: usize) {
@@ -165,12 +165,12 @@
     pub(crate) fn store(&self, stored: &mut StoredPolicy) {
         stored.recent_waits = self.recent_waits;
         for (levels, class) in self.classes.iter().zip(&mut stored.classes) {
-            class.levels = levels.map(LevelPrice::to_stored);
+            class.levels = levels.map(LevelPricing::to_stored);
         }
     }
 
     pub(crate) fn restore(stored: &StoredPolicy) -> PriceTable {
-        let levels = |class: &StoredClass| class.levels.map(LevelPrice::from_stored);
+        let levels = |class: &StoredClass| class.levels.map(LevelPricing::from_stored);
         let classes = stored.classes.iter().map(levels).collect();
         PriceTable { classes, recent_waits: stored.recent_waits }
     }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -31,7 +31,7 @@
     pub(crate) class: usize,
     /// Number in the order of arrival, which orders the requests of one level.
     pub(crate) sequence: u64,
-    pub(crate) arrived: Timestamp,
+    pub(crate) arrived_at: Timestamp,
     pub(crate) deadline: Timestamp,
     /// Value of an answer within the latency objective (the value of Konana et al.); lower for a request
     /// beyond its tenant's quota.
@@ -68,7 +68,7 @@
         Request {
             class: arrival.class.0,
             sequence,
-            arrived: now,
+            arrived_at: now,
             deadline: now + arrival.time_left,
             value: 0.0,
             cost,
@@ -100,6 +100,6 @@
 
     /// Seconds since the request arrived.
     pub(crate) fn age_secs(&self, now: Timestamp) -> f64 {
-        (now - self.arrived).as_secs_f64()
+        (now - self.arrived_at).as_secs_f64()
     }
 }
--- a/crates/policy/src/snapshot/requests.rs
+++ b/crates/policy/src/snapshot/requests.rs
@@ -58,7 +58,7 @@
         StoredRequest {
             class: request.class,
             sequence: request.sequence,
-            arrived: request.arrived,
+            arrived: request.arrived_at,
             deadline: request.deadline,
             value: request.value,
             cost: request.cost,
@@ -84,7 +84,7 @@
         Request {
             class: stored.class,
             sequence: stored.sequence,
-            arrived: stored.arrived,
+            arrived_at: stored.arrived,
             deadline: stored.deadline,
             value: stored.value,
             cost: stored.cost,
