--- a/crates/membership/src/swim/anti_entropy.rs
+++ b/crates/membership/src/swim/anti_entropy.rs
@@ -41,8 +41,8 @@
 pub(super) struct AntiEntropy {
     seeds: Vec<SocketAddr>,
     next_comparison_at: Timestamp,
-    /// Whether the last comparison was with a seed or a dead member instead of a live one.
-    last_was_reconnect: bool,
+    /// Whether it was the turn of a seed or dead member at the last comparison, instead of a live member.
+    was_reconnect_turn: bool,
     view_limiter: ViewRateLimiter,
 }
 
@@ -52,7 +52,7 @@
         AntiEntropy {
             seeds,
             next_comparison_at: now,
-            last_was_reconnect: true,
+            was_reconnect_turn: true,
             view_limiter: ViewRateLimiter::new(now),
         }
     }
@@ -72,7 +72,7 @@
     /// Addresses of the peers to compare views with now: alternately a live member, and a seed or dead
     /// member.
     pub(super) fn next_peers(&mut self, members: &MemberTable, rng: &mut ChaCha8Rng) -> Vec<SocketAddr> {
-        self.last_was_reconnect = !self.last_was_reconnect;
+        self.was_reconnect_turn = !self.was_reconnect_turn;
         let live: BTreeSet<SocketAddr> = members.live().map(|member| member.address).collect();
         let dead = members.all().filter(|member| member.state == MemberState::Dead);
         let dead = dead.map(|member| member.address);
@@ -82,7 +82,7 @@
         if live.is_empty() {
             return reconnect_addresses;
         }
-        let candidates = if self.last_was_reconnect && !reconnect_addresses.is_empty() {
+        let candidates = if self.was_reconnect_turn && !reconnect_addresses.is_empty() {
             reconnect_addresses
         } else {
             live.into_iter().collect()
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -41,7 +41,7 @@
         member: String,
     },
     /// Remove a member's payload and stop disseminating it.
-    RetractPayload {
+    RemovePayloadAndStopGossip {
         /// Name of the member.
         member: String,
     },
@@ -283,7 +283,7 @@
             _ => MembershipEventKind::Died,
         };
         vec![
-            ViewAction::RetractPayload { member: member.name.clone() },
+            ViewAction::RemovePayloadAndStopGossip { member: member.name.clone() },
             ViewAction::RecordEvent { member: member.name, kind, reported_by: reported_by.clone() },
             ViewAction::Disseminate { member: entry.member.clone(), reported_by },
         ]
--- a/crates/membership/src/swim/node/probing.rs
+++ b/crates/membership/src/swim/node/probing.rs
@@ -32,8 +32,8 @@
     fn begin_probe(&mut self, now: Timestamp) {
         let Some(target) = self.prober.next_target(&self.members, &mut self.rng) else { return };
         let Some(member) = self.members.get(&target).cloned() else { return };
-        let indirect_at = now + self.scaled_by_health(self.config.timeout_ms);
-        let sequence = self.prober.begin(&target, member.generation, indirect_at);
+        let helpers_due_at = now + self.scaled_by_health(self.config.timeout_ms);
+        let sequence = self.prober.begin(&target, member.generation, helpers_due_at);
         let address = member.address;
         let mut updates = Vec::new();
         if self.members.is_suspected(&target) {
--- a/crates/membership/src/swim/node/updates.rs
+++ b/crates/membership/src/swim/node/updates.rs
@@ -90,7 +90,7 @@
                     self.gossip_queue.enqueue_member(member, reported_by);
                 }
                 ViewAction::RemovePayload { member } => self.payloads.remove(&member),
-                ViewAction::RetractPayload { member } => {
+                ViewAction::RemovePayloadAndStopGossip { member } => {
                     self.payloads.remove(&member);
                     self.gossip_queue.remove_payload(&member);
                 }
--- a/crates/membership/src/swim/prober.rs
+++ b/crates/membership/src/swim/prober.rs
@@ -20,8 +20,8 @@
     target: String,
     target_generation: u64,
     sequence: u32,
-    /// Time at which other members are requested to probe the target.
-    indirect_at: Timestamp,
+    /// Time at which other members (helpers) are requested to probe the target.
+    helpers_due_at: Timestamp,
     ends_at: Timestamp,
     /// Number of members that were requested to probe the target.
     helper_count: u32,
@@ -34,7 +34,8 @@
         !self.is_acked && self.helper_count == 0
     }
 
-    /// Number of helpers that sent neither an ack nor a nack; 1 if there were no helpers.
+    /// Number of helpers that sent no nack; 1 without helpers, so that an unanswered probe without helpers
+    /// also raises the local health score (Lifeguard).
     fn silent_helper_count(&self) -> u32 {
         if self.helper_count == 0 {
             1
@@ -106,7 +107,7 @@
     /// Time at which the next probe, indirect probe or nack is due.
     pub(super) fn next_deadline(&self) -> Timestamp {
         let unassisted = self.probe.as_ref().filter(|probe| probe.needs_helpers());
-        let indirect_probe = unassisted.map(|probe| probe.indirect_at);
+        let indirect_probe = unassisted.map(|probe| probe.helpers_due_at);
         let nack = self.ping_requests.values().map(|request| request.nack_at).min();
         [indirect_probe, nack].into_iter().flatten().fold(self.next_probe_at, Timestamp::min)
     }
@@ -136,7 +137,7 @@
     /// yet.
     pub(super) fn due_indirect_probe(&self, now: Timestamp) -> Option<IndirectProbe> {
         let is_due =
-            |probe: &&Probe| probe.needs_helpers() && now >= probe.indirect_at && now < probe.ends_at;
+            |probe: &&Probe| probe.needs_helpers() && now >= probe.helpers_due_at && now < probe.ends_at;
         let probe = self.probe.as_ref().filter(is_due)?;
         Some(IndirectProbe { target: probe.target.clone(), sequence: probe.sequence })
     }
@@ -147,7 +148,7 @@
         probe.helper_count = helper_count as u32;
         if helper_count == 0 {
             // Without a helper, the indirect probe is not attempted again before the period ends.
-            probe.indirect_at = probe.ends_at;
+            probe.helpers_due_at = probe.ends_at;
         }
     }
 
@@ -180,13 +181,13 @@
     }
 
     /// Begins a probe that lasts until the next scheduled one; returns its sequence number.
-    pub(super) fn begin(&mut self, target: &str, target_generation: u64, indirect_at: Timestamp) -> u32 {
+    pub(super) fn begin(&mut self, target: &str, target_generation: u64, helpers_due_at: Timestamp) -> u32 {
         let sequence = self.next_sequence();
         self.probe = Some(Probe {
             target: target.to_owned(),
             target_generation,
             sequence,
-            indirect_at,
+            helpers_due_at,
             ends_at: self.next_probe_at,
             helper_count: 0,
             nacks: 0,
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicions: their duration (Lifeguard's dogpile), and the final probes before they expire.
+//! Suspicions: their duration, which confirmations by other members shorten (Lifeguard's dogpile), and the
+//! final probes before they expire.
 
 use super::duration::duration_from_ms;
 use crate::config::ProtocolConfig;
