--- a/crates/failpoints/src/lib.rs
+++ b/crates/failpoints/src/lib.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Marks a failpoint. If it is armed for this pass, prints its name and blocks the thread for the configured
-/// time, at most [`fault_file::MAX_WAIT_MS`]; otherwise does nothing.
+/// Marks a failpoint; each call is one pass. If the failpoint is armed for this pass, prints its name and
+/// blocks the thread for the configured time, at most [`fault_file::MAX_WAIT_MS`]; otherwise does nothing.
 #[inline]
 pub fn hit(name: &str) {
     #[cfg(feature = "hits")]
--- a/crates/history-checker/src/event.rs
+++ b/crates/history-checker/src/event.rs
@@ -139,14 +139,14 @@
     Connected {
         /// Name of the engine.
         engine: String,
-        /// Number of the connection at this engine.
+        /// Number that identifies the connection among those of this engine.
         connection: u64,
     },
     /// A command reached an engine.
     Command {
         /// Name of the engine.
         engine: String,
-        /// Number of the connection that carried the command.
+        /// Number that identifies, among those of this engine, the connection that carried the command.
         connection: u64,
         /// First word of the command.
         word: String,
@@ -159,7 +159,7 @@
     Disconnected {
         /// Name of the engine.
         engine: String,
-        /// Number of the connection at this engine.
+        /// Number that identifies the connection among those of this engine.
         connection: u64,
     },
     /// A discovery service received a request for the endpoint list.
--- a/crates/hot-restart/src/folder.rs
+++ b/crates/hot-restart/src/folder.rs
@@ -100,8 +100,8 @@
         remove_if_exists(&temporary)?;
         let result = write_and_rename(&temporary, &path, bytes);
         if result.is_err() {
-            // Frees the space in a full folder. If this fails too, a later scan finds the file and removes
-            // it.
+            // Frees the temporary file's space, which matters on a full disk. If this fails too, a later scan
+            // finds the file and removes it.
             let _ = fs::remove_file(&temporary);
         }
         result
