--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -101,7 +101,7 @@
     progress: ApplyProgress,
     leading_since: Option<Timestamp>,
     /// The role, term and leader that were last handed out.
-    role: Option<RoleChange>,
+    last_role_change: Option<RoleChange>,
     /// Whether a snapshot was requested from the driver, which has not taken it yet.
     is_snapshot_requested: bool,
     /// Time at which each snapshot in transfer was last sent, by raw member number.
@@ -114,7 +114,7 @@
             .debug_struct("Node")
             .field("id", &self.id)
             .field("phase", &self.phase)
-            .field("role", &self.role)
+            .field("role", &self.last_role_change)
             .finish()
     }
 }
--- a/crates/consensus/src/node/ready.rs
+++ b/crates/consensus/src/node/ready.rs
@@ -80,7 +80,7 @@
         if matches!(self.phase, Phase::Rejoining { .. }) {
             return false;
         }
-        let are_peers_due = self.peers.has_unsaved_changes && self.now >= self.persistence.peers_due_at;
+        let are_peers_due = self.peers.has_changes_not_in_batch && self.now >= self.persistence.peers_due_at;
         must_sync
             || has_snapshot
             || are_peers_due
@@ -105,7 +105,7 @@
         self.persistence.is_snapshot_due = false;
         self.persistence.is_state_due = false;
         self.persistence.peers_due_at = self.now + self.timing.peer_acks_every;
-        self.peers.mark_saved();
+        self.peers.mark_in_batch();
         Batch { number: self.persistence.last_batch, state: self.persistent_state(), snapshot, entries }
     }
 
@@ -157,17 +157,18 @@
     fn role_change(&mut self) -> Option<RoleChange> {
         let change =
             RoleChange { role: self.current_role(), term: self.raw_node.raft.term, leader: self.leader() };
-        if self.role == Some(change) {
+        if self.last_role_change == Some(change) {
             return None;
         }
-        let was_leading =
-            self.role.is_some_and(|before| before.role == Role::Leader && before.term == change.term);
+        let was_leading = self
+            .last_role_change
+            .is_some_and(|before| before.role == Role::Leader && before.term == change.term);
         if change.role != Role::Leader {
             self.leading_since = None;
         } else if !was_leading {
             self.leading_since = Some(self.now);
         }
-        self.role = Some(change);
+        self.last_role_change = Some(change);
         Some(change)
     }
 
--- a/crates/consensus/src/node/start.rs
+++ b/crates/consensus/src/node/start.rs
@@ -77,7 +77,7 @@
             digests: StateDigests::default(),
             progress: ApplyProgress { handed_out: snapshot_index, reported: 0, applied: snapshot_index },
             leading_since: None,
-            role: None,
+            last_role_change: None,
             is_snapshot_requested: false,
             snapshots_sent_at: BTreeMap::new(),
         };
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -30,7 +30,7 @@
 
     /// The role that was last handed out; `None` before the first [`Node::ready`].
     pub fn role(&self) -> Option<Role> {
-        self.role.map(|change| change.role)
+        self.last_role_change.map(|change| change.role)
     }
 
     /// The leader that this member knows of. The value is a hint: the member may no longer lead.
--- a/crates/consensus/src/peer_table.rs
+++ b/crates/consensus/src/peer_table.rs
@@ -42,7 +42,7 @@
     /// Number of rejoin requests received since this member started.
     request_count: u64,
     /// Whether the table has changes that are not yet part of a batch.
-    pub has_unsaved_changes: bool,
+    pub has_changes_not_in_batch: bool,
     /// Whether the table has to be part of a batch at once: a peer's own rejoin request reported a boot,
     /// which has to be on disk before the response is sent.
     pub must_save_now: bool,
@@ -102,7 +102,7 @@
         }
         peer.boot = boot;
         peer.nonce = nonce;
-        self.has_unsaved_changes = true;
+        self.has_changes_not_in_batch = true;
         true
     }
 
@@ -133,13 +133,13 @@
     }
 
     fn require_save(&mut self) {
-        self.has_unsaved_changes = true;
+        self.has_changes_not_in_batch = true;
         self.must_save_now = true;
     }
 
     /// Records that the table is part of a batch.
-    pub fn mark_saved(&mut self) {
-        self.has_unsaved_changes = false;
+    pub fn mark_in_batch(&mut self) {
+        self.has_changes_not_in_batch = false;
         self.must_save_now = false;
     }
 
@@ -148,7 +148,7 @@
         let Some(peer) = self.entry(member) else { return };
         if ack.writes > peer.observed_ack.writes {
             peer.observed_ack = *ack;
-            self.has_unsaved_changes = true;
+            self.has_changes_not_in_batch = true;
         }
     }
 
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -200,8 +200,8 @@
         self.violation.get_or_insert(Violation { occurred_at, kind });
     }
 
-    /// Checks a role change of a member: a new leader must be the only one of its term and have all committed
-    /// entries.
+    /// Checks a role change of a member: a new leader must be the only one of its term and have the newest
+    /// committed entries.
     pub(super) fn check_role_change(&mut self, member: MemberId, change: &RoleChange, node: &Node) {
         match change.role {
             Role::Quarantined => {
--- a/crates/consensus/src/sim/cluster.rs
+++ b/crates/consensus/src/sim/cluster.rs
@@ -193,7 +193,7 @@
         host.process_ready(self.now, &self.plan, &mut self.rng, &mut self.checker, &mut outgoing);
         let run = ProcessRun { member: id, start_count: host.start_count };
         if let Some(at) = host.sync_due.filter(|_| host.sync_due != sync_due_before) {
-            self.queue.push(at, Event::Synced(run));
+            self.queue.push(at, Event::WriteEnded(run));
         }
         self.send(outgoing);
         if let (Some(since), Some(_)) = (self.leaderless_since, self.leader()) {
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -24,7 +24,7 @@
     /// A frame arrives at its receiver.
     Deliver(Box<Frame>),
     /// The write in progress of a process completes or is rejected.
-    Synced(ProcessRun),
+    WriteEnded(ProcessRun),
     /// A proposal is made at a random host.
     Propose,
     /// The nemesis injects a fault.
--- a/crates/consensus/src/sim/host.rs
+++ b/crates/consensus/src/sim/host.rs
@@ -71,7 +71,7 @@
     delayed_frames: VecDeque<DelayedFrames>,
     delayed_snapshot: Option<DelayedSnapshot>,
     /// Index up to which all entries are applied.
-    applied: u64,
+    applied_index: u64,
     /// Number of starts of the process.
     pub start_count: u64,
     /// Why the store could not be opened; the member is then permanently excluded.
@@ -115,7 +115,7 @@
             unwritten_batches: VecDeque::new(),
             delayed_frames: VecDeque::new(),
             delayed_snapshot: None,
-            applied: 0,
+            applied_index: 0,
             start_count: 0,
             store_error: None,
             role: None,
@@ -160,7 +160,7 @@
         self.state_machine = state_machine;
         self.role = None;
         let recovered = store::recover(recovered).expect("the store contains a member's state");
-        self.applied = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        self.applied_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         if let Some(snapshot) = &recovered.snapshot {
             self.state_machine.install(&snapshot.data);
         }
@@ -292,15 +292,15 @@
     fn batch_on_disk(&mut self, now: Timestamp, number: u64, outgoing: &mut Vec<Frame>) {
         if let Some(delayed) = self.delayed_snapshot.take_if(|delayed| delayed.after_batch <= number) {
             self.state_machine.install(&delayed.snapshot.data);
-            self.applied = delayed.snapshot.index;
+            self.applied_index = delayed.snapshot.index;
         }
         while self.delayed_frames.front().is_some_and(|delayed| delayed.after_batch <= number) {
             outgoing.extend(self.delayed_frames.pop_front().into_iter().flat_map(|delayed| delayed.frames));
         }
         if let Some(node) = &mut self.node {
             node.persisted(now + self.clock_offset, number);
-            if self.applied > 0 {
-                node.applied(self.applied, None);
+            if self.applied_index > 0 {
+                node.applied(self.applied_index, None);
             }
         }
     }
@@ -378,7 +378,7 @@
             }
         }
         if ready.apply_through > 0 && !has_snapshot {
-            self.applied = ready.apply_through;
+            self.applied_index = ready.apply_through;
             if let Some(node) = &mut self.node {
                 node.applied(ready.apply_through, None);
             }
@@ -392,7 +392,7 @@
         let state = self.state_machine.snapshot();
         if let Some(node) = &mut self.node {
             // If the snapshot is rejected now, the node requests another one later.
-            let _ = node.snapshot_taken(self.applied, state);
+            let _ = node.snapshot_taken(self.applied_index, state);
         }
     }
 
--- a/crates/consensus/src/sim/network.rs
+++ b/crates/consensus/src/sim/network.rs
@@ -13,8 +13,8 @@
 /// Shortest delay of a message.
 const MIN_DELAY: TimeDelta = TimeDelta::from_micros(100);
 /// Lower bound of the configured longest delay of a message.
-const MIN_LONGEST_DELAY: TimeDelta = TimeDelta::from_micros(200);
-/// Factor by which messages to and from slow nodes are delayed longer.
+const MIN_MAX_DELAY: TimeDelta = TimeDelta::from_micros(200);
+/// Factor on the delay of messages to and from slow nodes.
 const SLOW_FACTOR: i64 = 10;
 /// Number of messages of which one is encoded and decoded.
 const ENCODED_ONE_IN: u64 = 16;
@@ -40,7 +40,7 @@
         Network {
             loss_per_mille: plan.loss_per_mille,
             duplicate_per_mille: plan.duplicate_per_mille,
-            max_delay: plan.max_delay.max(MIN_LONGEST_DELAY),
+            max_delay: plan.max_delay.max(MIN_MAX_DELAY),
             ..Network::default()
         }
     }
--- a/crates/consensus/src/sim/simulation.rs
+++ b/crates/consensus/src/sim/simulation.rs
@@ -121,7 +121,7 @@
         match event {
             Event::Tick(run) => self.tick(run),
             Event::Deliver(frame) => self.cluster.deliver(*frame),
-            Event::Synced(run) => self.complete_write(run),
+            Event::WriteEnded(run) => self.complete_write(run),
             Event::Propose => self.propose(),
             Event::InjectFault => self.inject_fault(),
             Event::EndFault(end) => self.end_fault(end),
@@ -149,7 +149,7 @@
             return;
         }
         if self.cluster.host(run.member).is_paused {
-            self.schedule(PAUSED_SYNC_RETRY, Event::Synced(run));
+            self.schedule(PAUSED_SYNC_RETRY, Event::WriteEnded(run));
             return;
         }
         if self.cluster.complete_write(run.member) {
