--- a/crates/wal/src/fault_disk.rs
+++ b/crates/wal/src/fault_disk.rs
@@ -45,7 +45,9 @@
 #[derive(Debug, Clone)]
 pub struct FaultDisk {
     files: BTreeMap<FileId, File>,
+    /// The file of each name, as a read sees it.
     names: BTreeMap<String, FileId>,
+    /// The file of each name, as it survives a crash.
     synced_names: BTreeMap<String, FileId>,
     last_file_id: FileId,
     rng: ChaCha8Rng,
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// [`WalError::ForeignFile`], [`WalError::TooManyFiles`], [`WalError::Corrupt`] or [`WalError::Failed`];
-    /// after each of them the member can't take part.
+    /// after each of them the log can't be used.
     pub fn open(disk: D) -> Result<(Self, Recovered), WalError> {
         let names = disk.list().map_err(WalError::Failed)?;
         let listing = Listing::parse(names)?;
