--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -38,7 +38,7 @@
 impl Fault {
     /// All faults except the faults that make a disk lose acknowledged writes: their number is limited
     /// separately.
-    pub const ALL_BUT_LYING_DISKS: [Fault; 12] = [
+    pub const ALL_WITHOUT_WRITE_LOSS: [Fault; 12] = [
         Fault::Crash,
         Fault::CrashMany,
         Fault::CrashLeader,
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -65,7 +65,7 @@
             recovery_time: TimeDelta::from_secs(20),
             propose_every: TimeDelta::from_millis(50),
             fault_every: TimeDelta::from_millis(800),
-            faults: Fault::ALL_BUT_LYING_DISKS.to_vec(),
+            faults: Fault::ALL_WITHOUT_WRITE_LOSS.to_vec(),
             max_write_loss_faults: 0,
             max_down: u32::MAX,
             loss_per_mille: 20,
@@ -91,7 +91,7 @@
 
     /// One disk loses acknowledged writes, and any number of members may be down at once.
     pub fn one_lying_disk(founders: u32) -> Plan {
-        let mut faults = Fault::ALL_BUT_LYING_DISKS.to_vec();
+        let mut faults = Fault::ALL_WITHOUT_WRITE_LOSS.to_vec();
         faults.extend([Fault::LyingDisk, Fault::LyingDisk, Fault::BitFlip, Fault::CrashLeader]);
         Plan { founders, max_write_loss_faults: 1, faults, ..Plan::default() }
     }
