--- a/crates/consensus/src/node/rejoin_exchange.rs
+++ b/crates/consensus/src/node/rejoin_exchange.rs
@@ -56,7 +56,7 @@
             known_boot,
             accepted,
             observed_ack: Some(self.peers.observed_ack(to)),
-            term: self.raw_node.raft.term.max(self.floors.vote_term),
+            term: self.raw_node.raft.term.max(self.floors.last_term_without_vote),
             last_term: last.term,
             last_index: last.index,
             established: self.is_established(),
@@ -106,9 +106,9 @@
         }
         let term = self.raw_node.raft.term;
         self.floors = outcome.floors;
-        self.floors.vote_term = self.floors.vote_term.max(term);
-        if self.floors.vote_term > term {
-            self.raw_node.raft.become_follower(self.floors.vote_term, 0);
+        self.floors.last_term_without_vote = self.floors.last_term_without_vote.max(term);
+        if self.floors.last_term_without_vote > term {
+            self.raw_node.raft.become_follower(self.floors.last_term_without_vote, 0);
         }
         self.phase = Phase::Established;
         self.persistence.is_state_due = true;
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RejoinFloors {
     /// The member does not vote in any term up to this one.
-    pub vote_term: u64,
+    pub last_term_without_vote: u64,
     /// The member votes for no candidate whose last entry is behind any of these floors, and does not
     /// campaign while its own last entry is behind one.
     pub logs: Vec<LogFloor>,
@@ -200,13 +200,13 @@
     /// The floors from the responses of the voters. Votes and acknowledgements of non-voters are never
     /// counted.
     fn floors(&self, voters: &[MemberId]) -> RejoinFloors {
-        let mut vote_term = 0;
+        let mut last_term_without_vote = 0;
         let mut logs: BTreeMap<MemberId, LogPosition> = BTreeMap::new();
         for (&from, response) in &self.responses {
             if response.is_quarantined || !voters.contains(&from) {
                 continue;
             }
-            vote_term = vote_term.max(response.term);
+            last_term_without_vote = last_term_without_vote.max(response.term);
             // The floor of a member is the furthest of the position that the member reports itself and the
             // positions that other members report for it. A floor for this member itself has no effect if its
             // disk has lost nothing, and is needed if its disk has lost entries.
@@ -218,6 +218,6 @@
         }
         let logs =
             logs.into_iter().map(|(member, last_position)| LogFloor { member, last_position }).collect();
-        RejoinFloors { vote_term, logs }
+        RejoinFloors { last_term_without_vote, logs }
     }
 }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -54,7 +54,7 @@
     quorum.add_response(member(4), rejoin_response(8, (6, 30), true));
     let outcome = quorum.outcome(seconds(1)).unwrap();
     assert!(!outcome.is_weak);
-    assert_eq!((outcome.floors.vote_term, outcome.floors.log()), (9, LogPosition::new(6, 40)));
+    assert_eq!((outcome.floors.last_term_without_vote, outcome.floors.log()), (9, LogPosition::new(6, 40)));
     quorum.discard_response(member(4));
     assert_eq!(quorum.outcome(seconds(1)), None, "the response of a restarted member no longer counts");
 }
