--- a/crates/consensus/src/message_check.rs
+++ b/crates/consensus/src/message_check.rs
@@ -52,7 +52,8 @@
 fn check_vote_request(floors: &RejoinFloors, message: &Message) -> MessageCheck {
     let is_vote = message.get_msg_type() == MessageType::MsgRequestVote;
     let is_below_vote_floor = is_vote && message.term <= floors.last_term_without_vote;
-    let is_below_log_floor = LogPosition::new(message.log_term, message.index) < floors.log();
+    let is_below_log_floor =
+        LogPosition::new(message.log_term, message.index) < floors.furthest_log_position();
     if is_below_vote_floor || is_below_log_floor {
         MessageCheck::Drop
     } else {
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -136,7 +136,7 @@
     }
 
     fn has_reached_log_floors(&self) -> bool {
-        self.last_position() >= self.floors.log()
+        self.last_position() >= self.floors.furthest_log_position()
     }
 
     /// The position of the last entry in memory.
--- a/crates/consensus/src/node/status.rs
+++ b/crates/consensus/src/node/status.rs
@@ -101,7 +101,7 @@
             self.last_position(),
             self.commit_index(),
             self.progress.applied,
-            self.floors.log(),
+            self.floors.furthest_log_position(),
             self.boot,
             join(&current.membership.voters),
             join(&current.membership.learners),
--- a/crates/consensus/src/rejoin.rs
+++ b/crates/consensus/src/rejoin.rs
@@ -57,7 +57,7 @@
 
 impl RejoinFloors {
     /// The furthest of the log floors; zeros when there is none.
-    pub fn log(&self) -> LogPosition {
+    pub fn furthest_log_position(&self) -> LogPosition {
         self.logs.iter().map(|floor| floor.last_position).max().unwrap_or_default()
     }
 }
--- a/crates/consensus/tests/rules.rs
+++ b/crates/consensus/tests/rules.rs
@@ -54,7 +54,10 @@
     quorum.add_response(member(4), rejoin_response(8, (6, 30), true));
     let outcome = quorum.outcome(seconds(1)).unwrap();
     assert!(!outcome.is_weak);
-    assert_eq!((outcome.floors.last_term_without_vote, outcome.floors.log()), (9, LogPosition::new(6, 40)));
+    assert_eq!(
+        (outcome.floors.last_term_without_vote, outcome.floors.furthest_log_position()),
+        (9, LogPosition::new(6, 40))
+    );
     quorum.discard_response(member(4));
     assert_eq!(quorum.outcome(seconds(1)), None, "the response of a restarted member no longer counts");
 }
@@ -85,14 +88,14 @@
     let floor = LogFloor { member: member(2), last_position: LogPosition::new(4, 99) };
     quorum.add_response(member(3), RejoinResponse { floors: vec![floor], ..newer((4, 61)) });
     assert_eq!(
-        quorum.outcome(Timestamp::ZERO).unwrap().floors.log(),
+        quorum.outcome(Timestamp::ZERO).unwrap().floors.furthest_log_position(),
         LogPosition::new(4, 99),
         "the last entry that member 2 reported to member 3, though 2 has lost it since"
     );
     quorum.declare_lost(member(2));
     let outcome = quorum.outcome(Timestamp::ZERO).unwrap();
     assert!(outcome.is_weak);
-    assert_eq!(outcome.floors.log(), LogPosition::new(4, 61));
+    assert_eq!(outcome.floors.furthest_log_position(), LogPosition::new(4, 61));
 }
 
 #[test]
