--- a/crates/consensus/examples/seeds.rs
+++ b/crates/consensus/examples/seeds.rs
@@ -50,11 +50,11 @@
         self.outcomes.dropped += report.outcomes.dropped;
         self.outcomes.unknown += report.outcomes.unknown;
         self.faults_injected += report.faults_injected;
-        self.replaced += report.replaced;
+        self.replaced += report.members_replaced;
         self.messages += report.messages;
         self.bytes += report.bytes;
-        self.damaged += report.damaged;
-        for (kind, count) in report.alarms {
+        self.damaged += report.damaged_stores;
+        for (kind, count) in report.alarm_counts {
             *self.alarms.entry(kind).or_default() += count;
         }
     }
--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -186,7 +186,7 @@
     /// Number of proposals by their reported outcome.
     pub outcomes: OutcomeCounts,
     /// Number of alarms that members raised, by kind.
-    pub alarms: BTreeMap<&'static str, u64>,
+    pub alarm_counts: BTreeMap<&'static str, u64>,
 }
 
 impl Checker {
@@ -294,7 +294,7 @@
             Alarm::WeakRejoinQuorum => "weak rejoin quorum",
             Alarm::OperatorOverride => "operator override",
         };
-        *self.alarms.entry(kind).or_default() += 1;
+        *self.alarm_counts.entry(kind).or_default() += 1;
         if let Alarm::Diverged { peer, index } = *alarm {
             self.fail(ViolationKind::DivergentState { member, peer, index });
         }
--- a/crates/consensus/src/sim/report.rs
+++ b/crates/consensus/src/sim/report.rs
@@ -24,15 +24,15 @@
     /// Number of faults injected.
     pub faults_injected: u64,
     /// Number of members replaced.
-    pub replaced: u64,
+    pub members_replaced: u64,
     /// Number of messages sent, including lost ones.
     pub messages: u64,
     /// Size of the messages, bytes, estimated from one in sixteen.
     pub bytes: u64,
     /// Number of alarms by kind.
-    pub alarms: BTreeMap<&'static str, u64>,
+    pub alarm_counts: BTreeMap<&'static str, u64>,
     /// Number of members whose store was found damaged.
-    pub damaged: u64,
+    pub damaged_stores: u64,
     /// Index of the last committed proposal; 0 when there is none.
     pub last_committed: u64,
     /// Whether too many members were permanently excluded at the end for a leader to be elected.
@@ -115,19 +115,19 @@
     /// The result of the run.
     pub fn report(&mut self) -> Report {
         let faults_injected = self.faults_injected();
-        let replaced = self.members_replaced();
+        let members_replaced = self.members_replaced();
         let cluster = &mut self.cluster;
-        let damaged = cluster.hosts.values().filter(|host| host.store_error.is_some()).count() as u64;
+        let damaged_stores = cluster.hosts.values().filter(|host| host.store_error.is_some()).count() as u64;
         Report {
             violation: cluster.checker.violation.clone(),
             elections: std::mem::take(&mut cluster.elections),
             outcomes: cluster.checker.outcomes,
             faults_injected,
-            replaced,
+            members_replaced,
             messages: cluster.network.sent,
             bytes: cluster.network.bytes,
-            alarms: std::mem::take(&mut cluster.checker.alarms),
-            damaged,
+            alarm_counts: std::mem::take(&mut cluster.checker.alarm_counts),
+            damaged_stores,
             last_committed: cluster.checker.last_committed(),
             is_unavailable: self.is_unavailable,
         }
--- a/crates/consensus/tests/simulated.rs
+++ b/crates/consensus/tests/simulated.rs
@@ -94,13 +94,20 @@
     let first = run();
     let second = run();
     assert_eq!(
-        (first.messages, first.bytes, first.outcomes, &first.elections, &first.alarms, first.last_committed),
+        (
+            first.messages,
+            first.bytes,
+            first.outcomes,
+            &first.elections,
+            &first.alarm_counts,
+            first.last_committed
+        ),
         (
             second.messages,
             second.bytes,
             second.outcomes,
             &second.elections,
-            &second.alarms,
+            &second.alarm_counts,
             second.last_committed
         )
     );
