--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -224,7 +224,7 @@
         let Some(after) = step.policy.engine_view(engine) else { return };
         let reported = after.others_threads / after.cores;
         let estimated = before.utilisation - before.threads / before.cores;
-        if let Some(age) = before.report_age {
+        if let Some(age) = before.report_age_secs {
             let age_step = (age * AGE_STEPS_PER_SECOND).min(MAX_AGE_STEP) as u32;
             let errors = self.totals.errors_by_age.entry(age_step).or_default();
             errors.reports += 1;
--- a/crates/capture/src/explain/engine_texts.rs
+++ b/crates/capture/src/explain/engine_texts.rs
@@ -13,7 +13,7 @@
         engine.utilisation,
         engine.threads,
         engine.others_threads,
-        describe_optional(engine.report_age),
+        describe_optional(engine.report_age_secs),
         engine.report_weight,
         engine.mean_others_threads,
         engine.queries_waiting_for_memory
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -40,7 +40,8 @@
     pub saturated: bool,
     /// Seconds since the last load report, or since the last event after which the engine was assumed to be
     /// full; `None` if there was neither.
-    pub report_age: Option<f64>,
+    #[serde(rename = "report_age")]
+    pub report_age_secs: Option<f64>,
     /// Weight of the last load report, which falls from 1 towards 0 with its age.
     #[serde(rename = "trust_in_report")]
     pub report_weight: f64,
--- a/crates/policy/src/policy/views.rs
+++ b/crates/policy/src/policy/views.rs
@@ -98,7 +98,7 @@
         others_threads: engine.load.others_threads(),
         queries_waiting_for_memory: engine.load.queries_waiting(),
         saturated: engine.load.is_excess_load_unknown(),
-        report_age: engine.load.report_age_secs(fleet.now),
+        report_age_secs: engine.load.report_age_secs(fleet.now),
         report_weight: fleet.report_weight(engine),
         mean_others_threads: fleet.mean_of_others(engine),
         estimated_threads: fleet.estimated_threads(engine),
