--- a/crates/failpoints/src/fault_file.rs
+++ b/crates/failpoints/src/fault_file.rs
@@ -103,7 +103,8 @@
     pub delayed_writes: u32,
     /// Number of bytes at the end of the last write that only reach the file with the next write, so that a
     /// crash tears it.
-    pub torn: u64,
+    #[serde(rename = "torn")]
+    pub torn_bytes: u64,
 }
 
 /// Reason for rejecting a fault file.
--- a/crates/failpoints/src/faulty_disk.rs
+++ b/crates/failpoints/src/faulty_disk.rs
@@ -74,7 +74,7 @@
         if self.faults.delayed_writes > 0 {
             return Ok(self.delay_write(offset, bytes));
         }
-        if self.faults.torn > 0 {
+        if self.faults.torn_bytes > 0 {
             return Ok(self.tear(offset, bytes));
         }
         Ok(vec![Write { offset, bytes: bytes.to_vec() }])
@@ -139,7 +139,7 @@
     /// one.
     fn tear(&mut self, offset: u64, bytes: &[u8]) -> Vec<Write> {
         let mut released = self.drain();
-        let torn = usize::try_from(self.faults.torn).unwrap_or(usize::MAX);
+        let torn = usize::try_from(self.faults.torn_bytes).unwrap_or(usize::MAX);
         let beginning_length = bytes.len().saturating_sub(torn);
         let (beginning, end) = bytes.split_at(beginning_length);
         self.push_delayed(Write { offset: offset + beginning_length as u64, bytes: end.to_vec() });
--- a/crates/failpoints/tests/fault_file.rs
+++ b/crates/failpoints/tests/fault_file.rs
@@ -6,7 +6,7 @@
 fn missing_fields_take_their_defaults() {
     let text = "{ points: { arm: { 'vote.unsynced': 2 } }, disk: { torn: 3 } }";
     let faults = FaultFile::parse(text).expect("valid");
-    assert_eq!((faults.points.wait_ms, faults.disk.torn, faults.disk.delayed_writes), (2_000, 3, 0));
+    assert_eq!((faults.points.wait_ms, faults.disk.torn_bytes, faults.disk.delayed_writes), (2_000, 3, 0));
 }
 
 #[test]
--- a/crates/failpoints/tests/faulty_disk.rs
+++ b/crates/failpoints/tests/faulty_disk.rs
@@ -33,7 +33,7 @@
 fn crash_loses_delayed_writes_and_tears_the_last_one() {
     let complete = b"abcdefghi".to_vec();
     let delayed = |writes| DiskFaults { delayed_writes: writes, ..DiskFaults::default() };
-    let torn = |bytes| DiskFaults { torn: bytes, ..DiskFaults::default() };
+    let torn = |bytes| DiskFaults { torn_bytes: bytes, ..DiskFaults::default() };
     assert_eq!(append_three_times(DiskFaults::default()), (complete.clone(), complete.clone()));
     assert_eq!(append_three_times(delayed(2)), (b"abc".to_vec(), complete.clone()));
     assert_eq!(append_three_times(torn(2)), (b"abcdefg".to_vec(), complete.clone()));
