--- a/crates/consensus/src/sim/checker.rs
+++ b/crates/consensus/src/sim/checker.rs
@@ -171,7 +171,7 @@
     pub violation: Option<Violation>,
     /// The first leader of each term.
     leaders: BTreeMap<u64, MemberId>,
-    /// The candidate of each first vote, by its raw member number.
+    /// For each vote key, the raw member number of the candidate for which the key's first vote was sent.
     votes: BTreeMap<VoteKey, u64>,
     /// Members whose disks lost acknowledged writes: each of their boots has one vote per term, and the votes
     /// of older boots don't count.
@@ -186,7 +186,7 @@
     /// Number of proposals by their reported outcome.
     pub outcomes: OutcomeCounts,
     /// Number of alarms that members raised, by kind.
-    pub alarms: BTreeMap<&'static str, u64>,
+    pub alarm_counts: BTreeMap<&'static str, u64>,
 }
 
 impl Checker {
@@ -200,8 +200,8 @@
         self.violation.get_or_insert(Violation { occurred_at, kind });
     }
 
-    /// Checks a role change of a member: a new leader must be the only one of its term and have all committed
-    /// entries.
+    /// Checks a role change of a member: a new leader must be the only one of its term and have the newest
+    /// committed entries.
     pub(super) fn check_role_change(&mut self, member: MemberId, change: &RoleChange, node: &Node) {
         match change.role {
             Role::Quarantined => {
@@ -294,7 +294,7 @@
             Alarm::WeakRejoinQuorum => "weak rejoin quorum",
             Alarm::OperatorOverride => "operator override",
         };
-        *self.alarms.entry(kind).or_default() += 1;
+        *self.alarm_counts.entry(kind).or_default() += 1;
         if let Alarm::Diverged { peer, index } = *alarm {
             self.fail(ViolationKind::DivergentState { member, peer, index });
         }
--- a/crates/consensus/src/sim/event_queue.rs
+++ b/crates/consensus/src/sim/event_queue.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessRun {
     pub member: MemberId,
-    /// Number of starts of the process up to this run.
+    /// Number of this run: starts of the process so far, including the start of this run.
     pub start_count: u64,
 }
 
@@ -24,7 +24,7 @@
     /// A frame arrives at its receiver.
     Deliver(Box<Frame>),
     /// The write in progress of a process completes or is rejected.
-    Synced(ProcessRun),
+    WriteEnded(ProcessRun),
     /// A proposal is made at a random host.
     Propose,
     /// The nemesis injects a fault.
--- a/crates/consensus/src/sim/faults.rs
+++ b/crates/consensus/src/sim/faults.rs
@@ -38,7 +38,7 @@
 impl Fault {
     /// All faults except the faults that make a disk lose acknowledged writes: their number is limited
     /// separately.
-    pub const ALL_BUT_LYING_DISKS: [Fault; 12] = [
+    pub const ALL_WITHOUT_WRITE_LOSS: [Fault; 12] = [
         Fault::Crash,
         Fault::CrashMany,
         Fault::CrashLeader,
@@ -75,7 +75,8 @@
 pub(super) enum FaultEnd {
     /// A crashed process restarts.
     Restart(MemberId),
-    /// A process whose disk lies crashes.
+    /// The process of a disk with lying syncs crashes, which loses the data of these syncs; then the disk
+    /// syncs correctly again.
     CrashWithLyingDisk(MemberId),
     /// Cut links deliver messages again.
     RestoreLinks(Vec<Link>),
--- a/crates/consensus/src/sim/plan.rs
+++ b/crates/consensus/src/sim/plan.rs
@@ -11,7 +11,8 @@
     VoteNotPersisted,
     /// A batch counts as written, and messages that depend on it are sent, before the batch is on disk.
     AckBeforeSync,
-    /// A member trusts its disk when it starts: no acknowledgement check and no floors.
+    /// A member skips the rejoin protocol when it starts: it votes and acknowledges at once, although its
+    /// disk may have lost writes.
     TrustDisk,
     /// Messages don't contain the boots of the members.
     NoBootsInMessages,
@@ -64,7 +65,7 @@
             recovery_time: TimeDelta::from_secs(20),
             propose_every: TimeDelta::from_millis(50),
             fault_every: TimeDelta::from_millis(800),
-            faults: Fault::ALL_BUT_LYING_DISKS.to_vec(),
+            faults: Fault::ALL_WITHOUT_WRITE_LOSS.to_vec(),
             max_write_loss_faults: 0,
             max_down: u32::MAX,
             loss_per_mille: 20,
@@ -90,7 +91,7 @@
 
     /// One disk loses acknowledged writes, and any number of members may be down at once.
     pub fn one_lying_disk(founders: u32) -> Plan {
-        let mut faults = Fault::ALL_BUT_LYING_DISKS.to_vec();
+        let mut faults = Fault::ALL_WITHOUT_WRITE_LOSS.to_vec();
         faults.extend([Fault::LyingDisk, Fault::LyingDisk, Fault::BitFlip, Fault::CrashLeader]);
         Plan { founders, max_write_loss_faults: 1, faults, ..Plan::default() }
     }
--- a/crates/hot-restart/src/usable_state.rs
+++ b/crates/hot-restart/src/usable_state.rs
@@ -11,7 +11,7 @@
 /// Smaller differences result from the order in which the clock is read and the file is written.
 pub const CLOCK_SLACK: TimeDelta = TimeDelta::from_secs(1);
 
-/// Durations of the windows over which the rules count.
+/// Durations of the windows of the retry budget and of the engines' slow-start budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WindowSpans {
     /// Window over which the retry budget counts retries and admitted requests.
@@ -20,10 +20,10 @@
     pub slow_start: TimeDelta,
 }
 
-/// Age of a file relative to the windows of the rules.
+/// Age of a file relative to the windows of the budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileAge {
-    /// The file was written within the longest window of the rules.
+    /// The file was written within the longest window of the budgets.
     Fresh,
     /// The file is older than the longest window: only its cordons and engine ids still apply.
     Stale,
@@ -34,7 +34,7 @@
 
 /// Work that another process sent to a warming engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WarmupSend {
+pub struct SentWarmupWork {
     /// Id of the engine.
     pub engine: String,
     /// Latest time at which the work can have been sent.
@@ -63,7 +63,7 @@
     /// from the future: these requests enlarge the budget, and their times are unknown.
     pub admitted: Vec<(Timestamp, u32)>,
     /// Work sent to warming engines within the slow-start window.
-    pub warmup: Vec<WarmupSend>,
+    pub warmup: Vec<SentWarmupWork>,
 }
 
 /// Returns the part of a file that still applies at `now`. If the exact time of a count is unknown, the
@@ -116,12 +116,12 @@
 fn usable_warmup(
     loads: &[WarmupLoad],
     usable_time: impl Fn(Timestamp) -> Option<Timestamp>,
-) -> Vec<WarmupSend> {
+) -> Vec<SentWarmupWork> {
     let mut sends = Vec::new();
     for load in loads {
         for bucket in load.buckets.iter().filter(|bucket| bucket.work_ms > 0) {
             if let Some(sent_at) = usable_time(bucket.start) {
-                sends.push(WarmupSend { engine: load.engine.clone(), sent_at, work_ms: bucket.work_ms });
+                sends.push(SentWarmupWork { engine: load.engine.clone(), sent_at, work_ms: bucket.work_ms });
             }
         }
     }
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -41,7 +41,7 @@
         member: String,
     },
     /// Remove a member's payload and stop disseminating it.
-    RetractPayload {
+    RemovePayloadAndStopGossip {
         /// Name of the member.
         member: String,
     },
@@ -283,7 +283,7 @@
             _ => MembershipEventKind::Died,
         };
         vec![
-            ViewAction::RetractPayload { member: member.name.clone() },
+            ViewAction::RemovePayloadAndStopGossip { member: member.name.clone() },
             ViewAction::RecordEvent { member: member.name, kind, reported_by: reported_by.clone() },
             ViewAction::Disseminate { member: entry.member.clone(), reported_by },
         ]
@@ -296,7 +296,8 @@
         suspicions.map(|suspicion| suspicion.next_deadline(interval)).min()
     }
 
-    /// Returns the suspects for which a final probe is due, and counts these probes as sent.
+    /// Returns the suspects for which a final probe (one of several before a suspicion expires) is due, and
+    /// counts these probes as sent.
     pub(super) fn take_final_probe_targets(
         &mut self,
         now: Timestamp,
--- a/crates/policy/src/engine_load.rs
+++ b/crates/policy/src/engine_load.rs
@@ -18,7 +18,8 @@
 /// Maximum age of a load report that outweighs an overdue attempt.
 const MAX_TRUSTED_REPORT_AGE: TimeDelta = TimeDelta::from_secs(1);
 
-/// The load of one engine that other managers cause.
+/// What is known of one engine's load apart from this manager's attempts in flight: threads of other managers
+/// and waiting queries by its last report, and the average of own threads that is subtracted from a report.
 #[derive(Clone, Default)]
 pub(crate) struct EngineLoad {
     /// Threads of other managers according to the last report.
@@ -27,9 +28,9 @@
     reported_at: Option<Timestamp>,
     /// Queries that wait for memory according to the last report.
     queries_waiting: f64,
-    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
-    /// cores were busy.
-    is_saturated: bool,
+    /// Whether the last report shows nearly all cores busy but not how many threads wait for the cores: it
+    /// had only the fraction of busy cores and no number of queries.
+    is_excess_load_unknown: bool,
     /// Own threads on the engine, averaged over ticks because reports lag behind.
     average_own_threads: MovingAverage,
 }
@@ -45,13 +46,14 @@
         self.queries_waiting
     }
 
-    /// Whether the last report had no number of queries, only the fraction of busy cores, and nearly all
-    /// cores were busy.
-    pub(crate) fn is_saturated(&self) -> bool {
-        self.is_saturated
+    /// Whether the last report shows nearly all cores busy but not how many threads wait for the cores: it
+    /// had only the fraction of busy cores and no number of queries.
+    pub(crate) fn is_excess_load_unknown(&self) -> bool {
+        self.is_excess_load_unknown
     }
 
-    /// Seconds since the last report; `None` if there was none.
+    /// Seconds since the last report, or since the last event after which the engine was assumed to be full;
+    /// `None` if there was neither.
     pub(crate) fn report_age_secs(&self, now: Timestamp) -> Option<f64> {
         self.reported_at.map(|time| (now - time).as_secs_f64())
     }
@@ -95,7 +97,7 @@
     ) {
         self.reported_at = Some(now);
         self.queries_waiting = report.queries_waiting_for_memory.unwrap_or(0.0);
-        self.is_saturated = report.queries_in_flight.is_none()
+        self.is_excess_load_unknown = report.queries_in_flight.is_none()
             && threads.is_some_and(|threads| threads > SATURATED_CORE_FRACTION * cores);
         let own_threads = self.average_own_threads.value();
         self.others_threads = match threads {
@@ -108,7 +110,7 @@
         stored.others_threads = self.others_threads;
         stored.reported_at = self.reported_at;
         stored.waiting = self.queries_waiting;
-        stored.saturated = self.is_saturated;
+        stored.saturated = self.is_excess_load_unknown;
         stored.average_threads = self.average_own_threads;
     }
 
@@ -117,7 +119,7 @@
             others_threads: stored.others_threads,
             reported_at: stored.reported_at,
             queries_waiting: stored.waiting,
-            is_saturated: stored.saturated,
+            is_excess_load_unknown: stored.saturated,
             average_own_threads: stored.average_threads,
         }
     }
@@ -137,7 +139,7 @@
 ) -> f64 {
     // A report of nearly all cores busy, without a number of queries, does not show how many threads wait for
     // the cores.
-    let reported_of_others = match load.is_saturated {
+    let reported_of_others = match load.is_excess_load_unknown {
         true => load.others_threads.max(even_of_others),
         false => load.others_threads,
     };
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -31,7 +31,7 @@
     pub(crate) class: usize,
     /// Number in the order of arrival, which orders the requests of one level.
     pub(crate) sequence: u64,
-    pub(crate) arrived: Timestamp,
+    pub(crate) arrived_at: Timestamp,
     pub(crate) deadline: Timestamp,
     /// Value of an answer within the latency objective (the value of Konana et al.); lower for a request
     /// beyond its tenant's quota.
@@ -49,7 +49,7 @@
     /// Attempts that ended with an engine's error.
     pub(crate) errors: u32,
     /// Send time and engine of the first attempt that may have run.
-    pub(crate) first_may_have_run: Option<(Timestamp, EngineId)>,
+    pub(crate) first_possible_run: Option<(Timestamp, EngineId)>,
     pub(crate) in_flight: Option<Attempt>,
     pub(crate) last_engine: Option<EngineId>,
     /// Time until which the request waits for the load probes that were sent for it.
@@ -68,7 +68,7 @@
         Request {
             class: arrival.class.0,
             sequence,
-            arrived: now,
+            arrived_at: now,
             deadline: now + arrival.time_left,
             value: 0.0,
             cost,
@@ -78,7 +78,7 @@
             level: 0,
             attempts: 0,
             errors: 0,
-            first_may_have_run: None,
+            first_possible_run: None,
             in_flight: None,
             last_engine: None,
             probes_until: now,
@@ -93,13 +93,13 @@
         AttemptHistory {
             attempts: self.attempts,
             is_in_flight: self.in_flight.is_some(),
-            may_have_run_since: self.first_may_have_run.map(|(sent_at, _)| sent_at),
+            may_have_run_since: self.first_possible_run.map(|(sent_at, _)| sent_at),
             deadline: self.deadline,
         }
     }
 
     /// Seconds since the request arrived.
     pub(crate) fn age_secs(&self, now: Timestamp) -> f64 {
-        (now - self.arrived).as_secs_f64()
+        (now - self.arrived_at).as_secs_f64()
     }
 }
