--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -187,7 +187,7 @@
         outcome.fill_watch_figures(scenario, watch, start_unix_s);
     }
     outcome.report.crossing = outcome.crossing(scenario, 0.0, scenario.seconds);
-    outcome.report.agreed_s = outcome.agreed(0.0, scenario.seconds).unwrap_or(f64::NAN);
+    outcome.report.agreed_s = outcome.seconds_to_agreement(0.0, scenario.seconds).unwrap_or(f64::NAN);
     Ok(outcome)
 }
 
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -158,7 +158,7 @@
 
     /// Seconds after `from` until all views were right and stayed right up to `to`; `None` if they were not
     /// at the end.
-    pub fn agreed(&self, from: f64, to: f64) -> Option<f64> {
+    pub fn seconds_to_agreement(&self, from: f64, to: f64) -> Option<f64> {
         let polls: Vec<&Views> =
             self.views.iter().filter(|v| v.at >= from && v.at < to && v.polled > 0).collect();
         let last_wrong = polls.iter().rposition(|v| v.right < v.polled);
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -38,9 +38,9 @@
                          {{ at: 13, do: {{ restart: {{ from: 0.8, to: 1 }} }} }} ] }}"
         ),
     );
-    assert!(got.agreed(0.0, 4.0).is_some(), "they come to one view");
-    assert!(got.agreed(4.0, 13.0).is_some(), "without the dead one");
-    assert!(got.agreed(13.0, 18.5).is_some(), "and with the new process");
+    assert!(got.seconds_to_agreement(0.0, 4.0).is_some(), "they come to one view");
+    assert!(got.seconds_to_agreement(4.0, 13.0).is_some(), "without the dead one");
+    assert!(got.seconds_to_agreement(13.0, 18.5).is_some(), "and with the new process");
     assert_eq!(count_lines(&got, "membership changed member=n4 change=died ", ""), 4);
     assert_eq!(
         count_lines(&got, "membership changed member=n4 change=restarted ", "")
@@ -66,12 +66,12 @@
                 membership: {{ {FAST} }}, steps: [ {{ at: 4, do: {cut} }}, {{ at: 14, do: {heal} }} ] }}"
         ),
     );
-    assert!(got.agreed(0.0, 4.0).is_some(), "they come to one view");
+    assert!(got.seconds_to_agreement(0.0, 4.0).is_some(), "they come to one view");
     let parted = got.views.iter().rfind(|v| v.at < 14.0).expect("views");
     assert_eq!((parted.different, parted.right), (2, 0), "two sides: {parted:?}");
     // Four hold four, two hold two, of six.
     assert_eq!(parted.wrong, 4 * 2 + 2 * 4);
-    assert!(got.agreed(14.0, 26.5).is_some(), "one view again");
+    assert!(got.seconds_to_agreement(14.0, 26.5).is_some(), "one view again");
 }
 
 /// One is stopped (SIGSTOP) for longer than a suspicion lasts: it is declared dead, resumes, refutes, and declares nobody
@@ -86,8 +86,8 @@
                          {{ at: 14, do: {{ resume: {{ from: 0.8, to: 1 }} }} }} ] }}"
         ),
     );
-    assert!(got.agreed(4.0, 14.0).is_some(), "without the one that is stopped");
-    assert!(got.agreed(14.0, 22.5).is_some(), "and with it again");
+    assert!(got.seconds_to_agreement(4.0, 14.0).is_some(), "without the one that is stopped");
+    assert!(got.seconds_to_agreement(14.0, 22.5).is_some(), "and with it again");
     assert!(
         count_lines(&got, "membership changed member=n4 change=refuted ", "") >= 1,
         "it refuted its death"
@@ -106,7 +106,7 @@
                              rule: {{ drop: 0.1, garble: 0.05, delay_ms: 2, jitter_ms: 10 }} }} }} }} ] }}"
         ),
     );
-    assert!(got.agreed(0.0, 4.0).is_some());
+    assert!(got.seconds_to_agreement(0.0, 4.0).is_some());
     assert_eq!(count_lines(&got, "membership changed ", " change=died "), 0);
     assert!(
         count_lines(&got, "membership datagram rejected", "error=\"the checksum") > 0,
@@ -125,7 +125,7 @@
                          {{ at: 13, do: 'heal' }} ] }}"
         ),
     );
-    assert!(got.agreed(13.0, 22.5).is_some());
+    assert!(got.seconds_to_agreement(13.0, 22.5).is_some());
 }
 
 /// SIGTERM: a manager announces that it leaves, and nobody suspects it.
@@ -140,7 +140,7 @@
     );
     assert!(count_lines(&got, "membership changed member=n3 change=left ", "") >= 1);
     assert_eq!(count_lines(&got, "membership changed member=n3 change=died ", ""), 0);
-    assert!(got.agreed(6.0, 14.5).is_some(), "and it comes back");
+    assert!(got.seconds_to_agreement(6.0, 14.5).is_some(), "and it comes back");
 }
 
 /// All datagrams in one direction between two managers are lost: neither can probe the other, others do on their behalf.
@@ -153,8 +153,8 @@
                 membership: {{ {FAST} }}, steps: [ {{ at: 4, do: {{ fault: {{ from: 'b', to: 'c', rule: {{ drop: 1 }} }} }} }} ] }}"
         ),
     );
-    assert!(got.agreed(0.0, 4.0).is_some(), "they come to one view");
-    assert!(got.agreed(10.0, 18.5).is_some(), "and keep it");
+    assert!(got.seconds_to_agreement(0.0, 4.0).is_some(), "they come to one view");
+    assert!(got.seconds_to_agreement(10.0, 18.5).is_some(), "and keep it");
     assert_eq!(count_lines(&got, "membership changed ", " change=died "), 0);
 }
 
@@ -172,5 +172,5 @@
                 steps: [ {steps} ] }}"
         ),
     );
-    assert!(got.agreed(10.0, 18.5).is_some());
+    assert!(got.seconds_to_agreement(10.0, 18.5).is_some());
 }
