--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -368,8 +368,8 @@
     };
     vec![
         series("managers asked", |v| v.polled),
-        series("view right", |v| v.right),
-        series("different views", |v| v.different),
+        series("view right", |v| v.right_views),
+        series("different views", |v| v.distinct_views),
     ]
 }
 
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -40,11 +40,11 @@
     /// Number of managers that were polled and answered.
     pub polled: usize,
     /// Number of managers whose view holds exactly the running managers.
-    pub right: usize,
+    pub right_views: usize,
     /// Number of members by which a view differs from the running managers, summed over all views.
-    pub wrong: usize,
+    pub wrong_members: usize,
     /// Number of distinct views.
-    pub different: usize,
+    pub distinct_views: usize,
 }
 
 impl Outcome {
@@ -161,7 +161,7 @@
     pub fn seconds_to_agreement(&self, from: f64, to: f64) -> Option<f64> {
         let polls: Vec<&Views> =
             self.views.iter().filter(|v| v.at >= from && v.at < to && v.polled > 0).collect();
-        let last_wrong = polls.iter().rposition(|v| v.right < v.polled);
+        let last_wrong = polls.iter().rposition(|v| v.right_views < v.polled);
         let first_right = last_wrong.map_or(0, |i| i + 1);
         polls.get(first_right).map(|v| v.at - from)
     }
--- a/crates/cluster-harness/src/run/views.rs
+++ b/crates/cluster-harness/src/run/views.rs
@@ -45,9 +45,9 @@
         let row = Views {
             at,
             polled: views.len(),
-            right: views.iter().filter(|view| **view == names).count(),
-            wrong: views.iter().map(|view| view.symmetric_difference(&names).count()).sum(),
-            different: views.iter().collect::<BTreeSet<_>>().len(),
+            right_views: views.iter().filter(|view| **view == names).count(),
+            wrong_members: views.iter().map(|view| view.symmetric_difference(&names).count()).sum(),
+            distinct_views: views.iter().collect::<BTreeSet<_>>().len(),
         };
         if self.views.len() < MAX_VIEWS {
             self.views.push(row);
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -15,7 +15,10 @@
     let got = run::run(&scenario, &program).expect("carried out");
     run::clear(&dir);
     for v in got.views.iter().step_by(4) {
-        eprintln!("{name} {:6.2} s: {} of {} right, {} views", v.at, v.right, v.polled, v.different);
+        eprintln!(
+            "{name} {:6.2} s: {} of {} right, {} views",
+            v.at, v.right_views, v.polled, v.distinct_views
+        );
     }
     assert_eq!((got.report.up, got.report.crashed), (got.report.managers, 0));
     assert_eq!(got.report.lost, 0, "what the managers serve is not touched");
@@ -68,9 +71,9 @@
     );
     assert!(got.seconds_to_agreement(0.0, 4.0).is_some(), "they come to one view");
     let parted = got.views.iter().rfind(|v| v.at < 14.0).expect("views");
-    assert_eq!((parted.different, parted.right), (2, 0), "two sides: {parted:?}");
+    assert_eq!((parted.distinct_views, parted.right_views), (2, 0), "two sides: {parted:?}");
     // Four hold four, two hold two, of six.
-    assert_eq!(parted.wrong, 4 * 2 + 2 * 4);
+    assert_eq!(parted.wrong_members, 4 * 2 + 2 * 4);
     assert!(got.seconds_to_agreement(14.0, 26.5).is_some(), "one view again");
 }
 
