--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -18,17 +18,19 @@
 
 /// Counts of attempts, and of those that broke a rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Breaches {
+pub struct AttemptCounts {
     /// Attempts that reached an engine while another attempt of the same request was in flight.
     pub second_attempts: u64,
     /// Attempts that reached a draining engine after the grace period.
     pub after_drain: u64,
     /// Falls of cold engines under too much work.
-    pub pushed_over: u64,
+    #[serde(rename = "pushed_over")]
+    pub cold_engine_falls: u64,
     /// All attempts that reached an engine.
     pub attempts: u64,
     /// Attempts other than the first of their request.
-    pub further: u64,
+    #[serde(rename = "further")]
+    pub retries: u64,
 }
 
 /// Maximum number of attempts whose time, manager and engine are kept; further ones are only counted.
@@ -67,7 +69,7 @@
     known_requests: HashSet<u64>,
     /// Time at which the drain of an engine was published.
     draining: HashMap<usize, Instant>,
-    counts: Breaches,
+    counts: AttemptCounts,
 }
 
 /// The ledger, shared by all engines of a run.
@@ -118,7 +120,7 @@
                 l.sends.push(Sent { at: at.saturating_duration_since(start), manager, engine });
             }
             let first = l.known_requests.len() >= MAX_KNOWN_REQUESTS || l.known_requests.insert(request);
-            l.counts.further += u64::from(!first);
+            l.counts.retries += u64::from(!first);
             l.counts.second_attempts += u64::from(l.in_flight.contains_key(&request));
             let late = l
                 .draining
@@ -143,11 +145,11 @@
 
     /// Records that a cold engine fell over.
     pub fn record_fall(&self) {
-        self.with(|l| l.counts.pushed_over += 1);
+        self.with(|l| l.counts.cold_engine_falls += 1);
     }
 
     /// The counts so far.
-    pub fn read(&self) -> Breaches {
+    pub fn read(&self) -> AttemptCounts {
         self.with(|l| l.counts)
     }
 }
--- a/crates/cluster-harness/src/ledger/tests.rs
+++ b/crates/cluster-harness/src/ledger/tests.rs
@@ -21,5 +21,5 @@
     assert_eq!(ledger.read().after_drain, 0);
     ledger.record_attempt(3, 5, 1, t + Duration::from_millis(600));
     let all = ledger.read();
-    assert_eq!((all.after_drain, all.attempts, all.further), (1, 6, 3));
+    assert_eq!((all.after_drain, all.attempts, all.retries), (1, 6, 3));
 }
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -1,6 +1,6 @@
 //! The report of a run: one row of figures (CSV or JSON) and one chart (SVG) over the time of the run.
 
-use crate::ledger::Breaches;
+use crate::ledger::AttemptCounts;
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, BLACK, WHITE,
 };
@@ -139,7 +139,7 @@
     /// were not right at the end, or in a run without membership.
     pub agreed_s: f64,
     /// Attempts that reached engines, and those that broke a rule.
-    pub breaches: Breaches,
+    pub attempt_counts: AttemptCounts,
     /// Violations of the journal's invariants that the checker found; absent if no history was checked.
     pub violations: Option<usize>,
 }
@@ -147,7 +147,7 @@
 impl Report {
     /// The figures as texts with their column names, in the order of the table.
     pub fn fields(&self) -> Vec<(&'static str, String)> {
-        let breaches = &self.breaches;
+        let counts = &self.attempt_counts;
         vec![
             ("scenario", self.scenario.clone()),
             ("cold_start", if self.cold_start { "on" } else { "off" }.to_owned()),
@@ -185,11 +185,11 @@
             ("said_p95_s", format!("{:.2}", self.said_p95_s)),
             ("cpu_s", format!("{:.2}", self.cpu_s)),
             ("agreed_s", format!("{:.2}", self.agreed_s)),
-            ("attempts", breaches.attempts.to_string()),
-            ("further", breaches.further.to_string()),
-            ("second_attempts", breaches.second_attempts.to_string()),
-            ("after_drain", breaches.after_drain.to_string()),
-            ("pushed_over", breaches.pushed_over.to_string()),
+            ("attempts", counts.attempts.to_string()),
+            ("further", counts.retries.to_string()),
+            ("second_attempts", counts.second_attempts.to_string()),
+            ("after_drain", counts.after_drain.to_string()),
+            ("pushed_over", counts.cold_engine_falls.to_string()),
             ("violations", self.violations.map_or("-".to_owned(), |n| n.to_string())),
         ]
     }
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -24,7 +24,7 @@
             managers: self.scenario.managers,
             up: self.up_once.iter().filter(|u| **u).count(),
             crashed: self.crashed,
-            breaches: self.ledger.read(),
+            attempt_counts: self.ledger.read(),
             ..Report::default()
         };
         self.count_requests(&mut report, &mut requests, buckets);
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -69,7 +69,11 @@
     assert_eq!((r.up, r.crashed), (r.managers, 0), "every manager came up and none ended by itself");
     assert!(r.issued > 0, "clients asked");
     assert_eq!(r.served + r.refused + r.failed + r.lost + r.not_taken + r.died, r.issued, "each has one end");
-    assert_eq!((r.lost, r.breaches.second_attempts, r.breaches.pushed_over), (0, 0, 0), "no rule is broken");
+    assert_eq!(
+        (r.lost, r.attempt_counts.second_attempts, r.attempt_counts.cold_engine_falls),
+        (0, 0, 0),
+        "no rule is broken"
+    );
     got
 }
 
@@ -174,7 +178,7 @@
         )
     };
     let got = play("rolling", &steps("roll"), Some("{ enabled: true }"));
-    assert_eq!((got.report.died, got.report.breaches.after_drain), (0, 0));
+    assert_eq!((got.report.died, got.report.attempt_counts.after_drain), (0, 0));
     assert!(
         got.report.served * 10 >= got.report.issued * 9,
         "{} of {}",
@@ -194,11 +198,11 @@
         steps: [ { at: 2, do: { engines_come: 1 } }, { at: 3, do: { engines_drain: { from: 0.25, to: 0.5 } } },
                  { at: 3.5, do: 'older_list' }, { at: 4, do: 'contradictory_list' } ] }";
     let got = play("older", scenario, Some("{ enabled: true }"));
-    assert_eq!(got.report.breaches.after_drain, 0);
+    assert_eq!(got.report.attempt_counts.after_drain, 0);
     assert!(
         got.logs.iter().all(|l| l.contains("endpoint list applied in part") && l.contains("contradicted=")),
         "it is said in the log"
     );
     let plain = play("older-off", scenario, None);
-    assert!(plain.report.breaches.after_drain > 0, "without it work goes on to what drains");
+    assert!(plain.report.attempt_counts.after_drain > 0, "without it work goes on to what drains");
 }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -36,7 +36,7 @@
         log.lines().filter(|l| l.contains("failover state changed")).for_each(|l| eprintln!("{name}: {l}"));
     }
     assert_eq!((r.up, r.crashed, r.lost), (r.managers, 0, 0));
-    assert_eq!(r.breaches.pushed_over, 0);
+    assert_eq!(r.attempt_counts.cold_engine_falls, 0);
     got
 }
 
@@ -53,7 +53,7 @@
 fn requests_stay_in_their_zone_while_nothing_fails() {
     let calm = scenario(ON, 6, "");
     let got = play("zones-calm", &calm);
-    assert_eq!(got.report.breaches.second_attempts, 0);
+    assert_eq!(got.report.attempt_counts.second_attempts, 0);
     assert!(got.report.crossing < 0.05, "{} crossed", got.report.crossing);
     assert_eq!(lines(&got, "ejected"), 0);
     let plain = play("zones-calm-off", &scenario("failover: { enabled: false }", 6, ""));
@@ -130,7 +130,7 @@
         failover: { enabled: true } }";
     let slow = Scenario::parse(text).expect("a scenario");
     let got = play("zones-slow", &slow);
-    assert_eq!(got.report.breaches.second_attempts, 0);
+    assert_eq!(got.report.attempt_counts.second_attempts, 0);
     assert_eq!(lines(&got, "ejected"), 0);
     assert!(got.report.crossing < 0.1, "{} crossed", got.report.crossing);
 }
