--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -67,7 +67,7 @@
     /// Number of managers.
     pub managers: usize,
     /// Managers that were ready at least once.
-    pub up: usize,
+    pub became_ready: usize,
     /// Processes that crashed: they exited by themselves without naming a next version, or failed to exit in
     /// order after SIGTERM.
     pub crashed: usize,
@@ -152,7 +152,7 @@
             ("scenario", self.scenario.clone()),
             ("cold_start", if self.cold_start { "on" } else { "off" }.to_owned()),
             ("managers", self.managers.to_string()),
-            ("up", self.up.to_string()),
+            ("up", self.became_ready.to_string()),
             ("crashed", self.crashed.to_string()),
             ("asked", self.issued.to_string()),
             ("served", self.served.to_string()),
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -22,7 +22,7 @@
             scenario: self.scenario.name.clone(),
             cold_start: self.program.args.iter().any(|a| a == "--cold-start"),
             managers: self.scenario.managers,
-            up: self.up_once.iter().filter(|u| **u).count(),
+            became_ready: self.became_ready.iter().filter(|ready| **ready).count(),
             crashed: self.crashed,
             attempt_counts: self.ledger.read(),
             ..Report::default()
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -118,7 +118,7 @@
     fleet: Fleet,
     process_states: Vec<ProcessState>,
     availability: Vec<Arc<Mutex<Availability>>>,
-    up_once: Vec<bool>,
+    became_ready: Vec<bool>,
     crashed: usize,
     settings: String,
     /// The fault proxy between the managers' membership ports.
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -63,7 +63,7 @@
             fleet,
             process_states: vec![ProcessState::NotStarted; managers],
             availability: (0..managers).map(|_| Arc::default()).collect(),
-            up_once: vec![false; managers],
+            became_ready: vec![false; managers],
             crashed: 0,
             settings: settings_of(scenario),
             membership_net: UdpNet::new(&Faults::new(0)),
--- a/crates/cluster-harness/src/run/supervision.rs
+++ b/crates/cluster-harness/src/run/supervision.rs
@@ -37,7 +37,7 @@
                             availability.until = None;
                         });
                         self.process_states[i] = ProcessState::Up;
-                        self.up_once[i] = true;
+                        self.became_ready[i] = true;
                         self.history.record(Event::Ready { process: format!("n{i}") });
                         self.bind_membership(i);
                     }
--- a/crates/cluster-harness/tests/injected_violations.rs
+++ b/crates/cluster-harness/tests/injected_violations.rs
@@ -82,7 +82,7 @@
                   { at: 5.2, do: { call: { to: { names: ['n1'] }, port: 'fanout', path: '/v1/op/{op}', op: 'o' } } } ]",
     );
     assert_eq!(outcome.report.violations, Some(0));
-    assert_eq!(outcome.report.up, 3);
+    assert_eq!(outcome.report.became_ready, 3);
     for rule in
         [agreement::NAME, budget::NAME, schema::NAME, order::NAME, uncommitted::NAME, acknowledged::NAME]
     {
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -66,7 +66,11 @@
     run::clear(&dir);
     eprintln!("{}\n{}", Report::head(), got.report.line());
     let r = &got.report;
-    assert_eq!((r.up, r.crashed), (r.managers, 0), "every manager came up and none ended by itself");
+    assert_eq!(
+        (r.became_ready, r.crashed),
+        (r.managers, 0),
+        "every manager came up and none ended by itself"
+    );
     assert!(r.issued > 0, "clients asked");
     assert_eq!(r.served + r.refused + r.failed + r.lost + r.not_taken + r.died, r.issued, "each has one end");
     assert_eq!(
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -20,7 +20,7 @@
             v.at, v.right_views, v.polled, v.distinct_views
         );
     }
-    assert_eq!((got.report.up, got.report.crashed), (got.report.managers, 0));
+    assert_eq!((got.report.became_ready, got.report.crashed), (got.report.managers, 0));
     assert_eq!(got.report.lost, 0, "what the managers serve is not touched");
     got
 }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -35,7 +35,7 @@
     for log in &got.logs {
         log.lines().filter(|l| l.contains("failover state changed")).for_each(|l| eprintln!("{name}: {l}"));
     }
-    assert_eq!((r.up, r.crashed, r.lost), (r.managers, 0, 0));
+    assert_eq!((r.became_ready, r.crashed, r.lost), (r.managers, 0, 0));
     assert_eq!(r.attempt_counts.cold_engine_falls, 0);
     got
 }
