--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -128,11 +128,11 @@
     /// the run.
     pub home_last: f64,
     /// Managers that logged the ejection of the watched zone.
-    pub said_lost: usize,
+    pub managers_with_ejection: usize,
     /// Seconds from the loss of the watched zone until half of these managers had logged it.
-    pub said_p50_s: f64,
+    pub ejection_p50_s: f64,
     /// Seconds from the loss of the watched zone until 95% of these managers had logged it.
-    pub said_p95_s: f64,
+    pub ejection_p95_s: f64,
     /// Processor time of a manager's process, in seconds; the mean over the processes at the end of the run.
     pub cpu_s: f64,
     /// Seconds from the start until all views of the fleet were right for the rest of the run; NaN if they
@@ -180,9 +180,9 @@
             ("served_back", format!("{:.4}", self.served_back)),
             ("home_first", format!("{:.3}", self.home_first)),
             ("home_last", format!("{:.3}", self.home_last)),
-            ("said_lost", self.said_lost.to_string()),
-            ("said_p50_s", format!("{:.2}", self.said_p50_s)),
-            ("said_p95_s", format!("{:.2}", self.said_p95_s)),
+            ("said_lost", self.managers_with_ejection.to_string()),
+            ("said_p50_s", format!("{:.2}", self.ejection_p50_s)),
+            ("said_p95_s", format!("{:.2}", self.ejection_p95_s)),
             ("cpu_s", format!("{:.2}", self.cpu_s)),
             ("agreed_s", format!("{:.2}", self.agreed_s)),
             ("attempts", counts.attempts.to_string()),
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -100,9 +100,9 @@
         report.served_back = self.requests.served_share(watch.to, (watch.to + 10.0).min(end));
         report.home_first = fraction(self.sent(scenario, zone, zone, watch.to, watch.to + 1.0));
         report.home_last = fraction(self.sent(scenario, zone, zone, end - 5.0, end));
-        report.said_lost = ejections.len();
-        report.said_p50_s = quantile(0.5).unwrap_or(f64::NAN);
-        report.said_p95_s = quantile(0.95).unwrap_or(f64::NAN);
+        report.managers_with_ejection = ejections.len();
+        report.ejection_p50_s = quantile(0.5).unwrap_or(f64::NAN);
+        report.ejection_p95_s = quantile(0.95).unwrap_or(f64::NAN);
         std::mem::swap(report, &mut self.report);
     }
 
