--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -10,7 +10,7 @@
 use crate::ledger::Ledger;
 use crate::lists::{DiscoveryMode, ListService};
 use crate::procs::{self, Fleet, Row};
-use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, ZONES};
+use crate::scenario::{Engines, History, ListServiceMode, Scenario, GROUPS, ZONES};
 use crate::subscribers::Subscribers;
 use sprucelink_history_checker::event::{Event, FleetMember};
 use sprucelink_membership::MembershipConfig;
@@ -86,7 +86,7 @@
         harness.start_engines()?;
         harness.start_list_services()?;
         harness.ledger.keep_attempts(start);
-        harness.set_lists(scenario.lists);
+        harness.set_list_service_mode(scenario.lists);
         harness.reserve_membership_addresses()?;
         harness.start_subscribers();
         Ok(harness)
@@ -234,11 +234,11 @@
         Ok(())
     }
 
-    pub(super) fn set_lists(&self, lists: Lists) {
-        let mode = match lists {
-            Lists::Serve => DiscoveryMode::Serving,
-            Lists::Refuse => DiscoveryMode::Refusing,
-            Lists::Stall => DiscoveryMode::Stalling,
+    pub(super) fn set_list_service_mode(&self, mode: ListServiceMode) {
+        let mode = match mode {
+            ListServiceMode::Serve => DiscoveryMode::Serving,
+            ListServiceMode::Refuse => DiscoveryMode::Refusing,
+            ListServiceMode::Stall => DiscoveryMode::Stalling,
         };
         self.lists.iter().for_each(|l| l.set_discovery_mode(mode));
     }
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -109,7 +109,7 @@
             Action::Subscribers(action) => {
                 self.subscribers.iter_mut().for_each(|subscribers| subscribers.command(*action));
             }
-            Action::Lists(lists) => self.set_lists(*lists),
+            Action::Lists(mode) => self.set_list_service_mode(*mode),
             Action::EnginesCome(count) => self.start_cold_engines(*count)?,
             Action::EnginesDrain(p) => self.drain_engines(p)?,
             Action::EnginesGo(p) => self.withdraw_engines(p)?,
--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -154,7 +154,7 @@
 /// How the list service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Lists {
+pub enum ListServiceMode {
     /// The service sends the list and its changes.
     Serve,
     /// The service answers 503.
@@ -277,7 +277,7 @@
     /// must be down.
     PutBack(ManagerSelector),
     /// The list services answer in this way from now on.
-    Lists(Lists),
+    Lists(ListServiceMode),
     /// This number of new engines start cold, under new ids, and are published on the endpoint list.
     EnginesCome(usize),
     /// Engines are published as draining; the range is by index among all engines so far, also in the next
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -11,8 +11,8 @@
 mod tests;
 
 pub use actions::{
-    Action, Call, Clocks, FailpointFault, FleetRange, Lists, ManagerSelector, NewConnections, ProcessFault,
-    Sides, Step, SubscriberAction,
+    Action, Call, Clocks, FailpointFault, FleetRange, ListServiceMode, ManagerSelector, NewConnections,
+    ProcessFault, Sides, Step, SubscriberAction,
 };
 pub use error::{InvalidScenario, ScenarioError};
 pub use parts::{
@@ -69,7 +69,7 @@
     /// The clients' load.
     pub load: Load,
     /// How the list services answer at the start.
-    pub lists: Lists,
+    pub lists: ListServiceMode,
     /// Duration of the run, in seconds.
     pub seconds: f64,
     /// Time after the publication of a drain during which attempts may still reach the engine, in
@@ -121,7 +121,7 @@
             failover: None,
             membership: None,
             load: Load::default(),
-            lists: Lists::Serve,
+            lists: ListServiceMode::Serve,
             seconds: 10.0,
             drain_grace_ms: DRAIN_GRACE.as_secs_f64() * 1e3,
             seed: 1,
