--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -79,7 +79,7 @@
         let ports = &self.scenario.ports;
         let peers = &self.peers;
         self.procs[i].unbound.retain(|p| {
-            let rest = line.split_once(ports[*p].said.as_str()).map(|(_, rest)| rest);
+            let rest = line.split_once(ports[*p].log_prefix.as_str()).map(|(_, rest)| rest);
             let address = rest.and_then(|r| r.split([',', ' ', '"']).next()).and_then(|a| a.parse().ok());
             if address.is_some() {
                 peers.bind(&ports[*p].name, i, address);
--- a/crates/cluster-harness/src/run/supervision.rs
+++ b/crates/cluster-harness/src/run/supervision.rs
@@ -66,7 +66,7 @@
         if restarts && self.procs[i].supervised_restarts < supervise.max_restarts {
             self.procs[i].supervised_restarts += 1;
             self.process_states[i] = ProcessState::RestartPending(
-                Instant::now() + Duration::from_secs_f64(supervise.back_ms / 1e3),
+                Instant::now() + Duration::from_secs_f64(supervise.restart_delay_ms / 1e3),
             );
         }
     }
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -122,7 +122,7 @@
         check_range("ports", self.ports.len() as f64, 0.0, MAX_PORTS as f64)?;
         for p in &self.ports {
             check_name("ports: name", &p.name)?;
-            if p.said.is_empty() || p.said.len() > 64 {
+            if p.log_prefix.is_empty() || p.log_prefix.len() > 64 {
                 return Err(InvalidScenario::InvalidPortLogText);
             }
         }
@@ -142,7 +142,7 @@
             known.then_some(()).ok_or_else(|| InvalidScenario::UnknownClock(name.clone()))?;
             check_range("clocks", *ms as f64, -MAX_CLOCK_OFFSET_MS as f64, MAX_CLOCK_OFFSET_MS as f64)?;
         }
-        check_range("supervise.back_ms", self.supervise.back_ms, 0.0, 60_000.0)?;
+        check_range("supervise.back_ms", self.supervise.restart_delay_ms, 0.0, 60_000.0)?;
         Ok(check_range("supervise.most", self.supervise.max_restarts as f64, 0.0, 1_000.0)?)
     }
 
@@ -272,8 +272,8 @@
         if !s.path.starts_with('/') || s.path.chars().any(|c| c.is_whitespace() || c.is_control()) {
             return Err(InvalidScenario::InvalidSubscriberPath(s.path.clone()));
         }
-        check_pointer("prev_at", &s.prev_at)?;
-        check_pointer("op_at", &s.op_at)?;
+        check_pointer("prev_at", &s.previous_pointer)?;
+        check_pointer("op_at", &s.operation_pointer)?;
         let needs = || s.needs.values().flat_map(|n| n.values()).flatten();
         check_range("needs", needs().count() as f64, 0.0, MAX_LIST_ENTRIES as f64)?;
         needs().try_for_each(|p| check_pointer("needs", p))?;
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -81,7 +81,8 @@
     /// Name of the port in templates.
     pub name: String,
     /// Text before the port's address in the manager's log, such as `council on `.
-    pub said: String,
+    #[serde(rename = "said")]
+    pub log_prefix: String,
 }
 
 /// Restarts of processes that have ended by themselves.
@@ -91,7 +92,8 @@
     /// Crashed processes are restarted, too; else only those that request another version (exit status 75).
     pub crashed: bool,
     /// Delay of a restart, in milliseconds; 0 to 60,000.
-    pub back_ms: f64,
+    #[serde(rename = "back_ms")]
+    pub restart_delay_ms: f64,
     /// Maximum number of restarts of one manager in a run; after them it stays down. 0 to 1,000.
     #[serde(rename = "most")]
     pub max_restarts: usize,
@@ -99,7 +101,7 @@
 
 impl Default for Supervise {
     fn default() -> Supervise {
-        Supervise { crashed: false, back_ms: 100.0, max_restarts: 100 }
+        Supervise { crashed: false, restart_delay_ms: 100.0, max_restarts: 100 }
     }
 }
 
@@ -148,9 +150,11 @@
     /// Time without data after which a subscriber considers its connection dead, in milliseconds.
     pub silent_ms: f64,
     /// JSON pointer to the position before a record, in the record's data.
-    pub prev_at: String,
+    #[serde(rename = "prev_at")]
+    pub previous_pointer: String,
     /// JSON pointer to the operation that a record carries out, in the record's data.
-    pub op_at: String,
+    #[serde(rename = "op_at")]
+    pub operation_pointer: String,
     /// JSON pointers to the fields that a version needs to read a record, by version and record name.
     pub needs: BTreeMap<String, BTreeMap<String, Vec<String>>>,
     /// Records that have a meaning for the checker.
@@ -171,8 +175,8 @@
             hop_s: 0.0,
             retry_ms: 1_000.0,
             silent_ms: 10_000.0,
-            prev_at: "/prev".into(),
-            op_at: "/op".into(),
+            previous_pointer: "/prev".into(),
+            operation_pointer: "/op".into(),
             needs: BTreeMap::new(),
             marks: Marks::default(),
         }
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -97,7 +97,7 @@
         let text = |pointer: &str| value.as_ref().and_then(|v| v.pointer(pointer)).and_then(Value::as_str);
         let subscriber = self.name.clone();
         let manager = manager.to_owned();
-        let digest = digest(value.as_ref(), &data, &self.spec.prev_at);
+        let digest = digest(value.as_ref(), &data, &self.spec.previous_pointer);
         self.cursor = Some(cursor);
         if name == SNAPSHOT {
             return Ok(vec![Event::Snapshot { subscriber, manager, cursor, digest }]);
@@ -113,8 +113,8 @@
                     .map(|p| format!("{p} is missing"))
             }
         };
-        let prev = text(&self.spec.prev_at).and_then(|p| p.parse().ok());
-        let op = text(&self.spec.op_at).map(str::to_owned);
+        let prev = text(&self.spec.previous_pointer).and_then(|p| p.parse().ok());
+        let op = text(&self.spec.operation_pointer).map(str::to_owned);
         let mut events =
             value.as_ref().map_or(Vec::new(), |v| self.releases.events_of(&self.spec.marks, &name, v));
         let mut data = data;
@@ -164,10 +164,10 @@
 
 /// Digest of a record's content: the checksum (CRC-32) and length of its JSON with sorted keys, without the
 /// position before the record, which depends on the filter.
-fn digest(value: Option<&Value>, data: &str, prev_at: &str) -> String {
+fn digest(value: Option<&Value>, data: &str, previous_pointer: &str) -> String {
     let mut text = data.to_owned();
     if let Some(mut v) = value.cloned() {
-        if let Some((parent, key)) = prev_at.rsplit_once('/') {
+        if let Some((parent, key)) = previous_pointer.rsplit_once('/') {
             if let Some(Value::Object(map)) = v.pointer_mut(parent) {
                 map.remove(key);
             }
