--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -37,7 +37,7 @@
     /// Idempotency key of a load; light queries have none.
     pub key: u64,
     /// The client's estimate of the work on one core, in milliseconds; 0: the request carries none.
-    pub ms: f64,
+    pub estimated_work_ms: f64,
     /// The timeout that the request carries.
     pub timeout: Duration,
 }
@@ -55,7 +55,11 @@
     let id = request.id;
     let ms = request.timeout.as_millis();
     let key = request.key;
-    let estimate = if request.ms > 0.0 { format!(",ms={:.1}", request.ms) } else { String::new() };
+    let estimate = if request.estimated_work_ms > 0.0 {
+        format!(",ms={:.1}", request.estimated_work_ms)
+    } else {
+        String::new()
+    };
     let sql = if request.heavy {
         format!("/* kind=tariff-load,req={id:016x},timeout={ms},owner=sud,opkey={key:032x}{estimate} */ INSERT INTO rates_3.lanes VALUES (1)\0")
     } else {
@@ -129,7 +133,8 @@
 /// # Errors
 /// If no connection was established, or no complete answer arrived.
 pub fn query_once(address: SocketAddr, id: u64) -> std::io::Result<bool> {
-    let request = ClientRequest { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
+    let request =
+        ClientRequest { id, heavy: false, key: 0, estimated_work_ms: 0.0, timeout: Duration::from_secs(5) };
     match crate::runtime().block_on(send(address, request)).0 {
         RequestOutcome::NotTaken => Err(std::io::Error::other("no connection established")),
         RequestOutcome::Lost => Err(std::io::Error::other("no complete answer")),
--- a/crates/cluster-harness/src/counter.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -11,29 +11,29 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counted {
     /// Time of each event since the start of the run.
-    pub at: Vec<Duration>,
+    pub times: Vec<Duration>,
     /// Number of events whose time was not kept.
-    pub undated: u64,
+    pub without_time: u64,
 }
 
 impl Counted {
     /// Records an event at `time`; its time is kept relative to `start`.
     pub fn record(&mut self, start: Instant, time: Instant) {
-        if self.at.len() < MAX_EVENTS {
-            self.at.push(time.saturating_duration_since(start));
+        if self.times.len() < MAX_EVENTS {
+            self.times.push(time.saturating_duration_since(start));
         } else {
-            self.undated += 1;
+            self.without_time += 1;
         }
     }
 
     /// The maximum number of events in any half-open window of `width`.
     pub fn peak(&self, width: Duration) -> usize {
-        let mut at = self.at.clone();
-        at.sort_unstable();
+        let mut times = self.times.clone();
+        times.sort_unstable();
         let mut max = 0;
         let mut from = 0;
-        for to in 0..at.len() {
-            while at[to] - at[from] >= width {
+        for to in 0..times.len() {
+            while times[to] - times[from] >= width {
                 from += 1;
             }
             max = max.max(to + 1 - from);
@@ -43,14 +43,14 @@
 
     /// Number of events from `from` up to but excluding `to`.
     pub fn within(&self, from: Duration, to: Duration) -> usize {
-        self.at.iter().filter(|t| (from..to).contains(*t)).count()
+        self.times.iter().filter(|t| (from..to).contains(*t)).count()
     }
 
     /// Number of events in each of `n` buckets of `width` from the start; the last bucket includes all later
     /// events.
     pub fn buckets(&self, width: Duration, n: usize) -> Vec<u32> {
         let mut out = vec![0; n.max(1)];
-        for t in &self.at {
+        for t in &self.times {
             let i = (t.as_micros() / width.as_micros().max(1)) as usize;
             out[i.min(n.max(1) - 1)] += 1;
         }
@@ -59,8 +59,8 @@
 
     /// Adds the events of another count.
     pub fn add(&mut self, other: &Counted) {
-        self.at.extend_from_slice(&other.at);
-        self.undated += other.undated;
+        self.times.extend_from_slice(&other.times);
+        self.without_time += other.without_time;
     }
 }
 
@@ -81,7 +81,7 @@
 
     /// Number of events so far whose time was kept.
     pub fn len(&self) -> usize {
-        self.lock(|c| c.at.len())
+        self.lock(|c| c.times.len())
     }
 
     /// Whether there were no events yet.
--- a/crates/cluster-harness/src/counter/tests.rs
+++ b/crates/cluster-harness/src/counter/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn peaks_and_buckets_are_counted_over_half_open_windows() {
-    let at = [0, 90, 110, 120, 500].iter().map(|ms| Duration::from_millis(*ms)).collect();
-    let counted = Counted { at, undated: 0 };
+    let times = [0, 90, 110, 120, 500].iter().map(|ms| Duration::from_millis(*ms)).collect();
+    let counted = Counted { times, without_time: 0 };
     assert_eq!(counted.peak(Duration::from_millis(100)), 3);
     // Windows are half open: 110 and 120 ms don't fit in one window of 10 ms.
     assert_eq!(counted.peak(Duration::from_millis(10)), 1);
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -102,11 +102,11 @@
     /// Sets the totals and peaks of polls and connections, and the steady rate of polls.
     fn summarize_connections(&self, report: &mut Report, calls: &Counted, dials: &Counted) {
         let end = Duration::from_secs_f64(self.scenario.seconds);
-        report.calls = calls.at.len();
+        report.calls = calls.times.len();
         report.calls_100ms = calls.peak(PEAK_100MS);
         report.calls_1s = calls.peak(PEAK_1S);
         report.calls_steady = calls.within(end * 2 / 3, end) as f64 / (end / 3).as_secs_f64();
-        report.dials = dials.at.len();
+        report.dials = dials.times.len();
         report.dials_100ms = dials.peak(PEAK_100MS);
         report.dials_1s = dials.peak(PEAK_1S);
     }
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -65,8 +65,14 @@
         let id = request_id(self.manager, self.rng.gen());
         let key = self.rng.gen::<u64>();
         let heavy = self.rng.gen_bool(self.load.heavy);
-        let ms = if heavy { self.engines.heavy_ms } else { self.engines.light_ms };
-        ClientRequest { id, heavy, key, ms, timeout: Duration::from_secs_f64(self.load.timeout_ms / 1e3) }
+        let estimated_work_ms = if heavy { self.engines.heavy_ms } else { self.engines.light_ms };
+        ClientRequest {
+            id,
+            heavy,
+            key,
+            estimated_work_ms,
+            timeout: Duration::from_secs_f64(self.load.timeout_ms / 1e3),
+        }
     }
 
     /// The own manager while it accepts requests, else one drawn at random, which may be down as well.
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -27,7 +27,7 @@
     let program = Program::launch(&[("s-1", engine.address)], None, None, (192, 1024), SETTINGS, more);
     let feed = refusing_feed();
     program.reload(&program.config_with_feed(feed.address));
-    let calls = || feed.calls.read().at;
+    let calls = || feed.calls.read().times;
     let first = until(|| calls().first().copied());
     thread::sleep(span);
     calls().iter().filter(|t| **t - first < span).count()
