--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -106,8 +106,8 @@
         ManagerSelector { names: Some(vec![format!("n{i}")]), ..ManagerSelector::default() }
     }
 
-    /// The managers' indices, without duplicates. A random selection depends on the scenario's seed and on
-    /// `draw`, which distinguishes one draw of a run from another.
+    /// The indices of the selected managers, without duplicates. A random selection depends on the scenario's
+    /// seed and on `draw`, which must differ between the draws of a run.
     pub fn select(&self, scenario: &Scenario, draw: u64) -> Vec<usize> {
         let n = scenario.managers;
         if let Some(names) = &self.names {
@@ -171,24 +171,25 @@
     pub from: Vec<String>,
     /// The parties of the other side. A party on neither side reaches both.
     pub to: Vec<String>,
-    /// The partition blocks traffic from the first side to the second only; else it blocks both directions.
+    /// Whether the partition blocks only traffic from the first side to the second; else it blocks both
+    /// directions.
     #[serde(default)]
     pub one_way: bool,
-    /// Fate of new TCP connections during the partition.
+    /// Handling of new TCP connections during the partition.
     #[serde(default)]
     pub new: NewConnections,
 }
 
-/// Fate of new TCP connections in a partition.
+/// Handling of new TCP connections in a partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NewConnections {
-    /// They are established, and their data is forwarded after the partition's end.
+    /// New connections are established, and their data is forwarded after the partition's end.
     #[default]
     Hold,
-    /// They are established, and their data is never forwarded.
+    /// New connections are established, and their data is never forwarded.
     Blackhole,
-    /// They are closed.
+    /// New connections are closed.
     Refuse,
 }
 
@@ -197,22 +198,22 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The managers; each gets a call of its own.
+    /// The called managers; each gets a call of its own.
     pub to: ManagerSelector,
     /// Name of the port, one of the scenario's `ports`.
     pub port: String,
     /// HTTP method; `POST` if absent.
     #[serde(default = "post")]
     pub method: String,
-    /// The path, with the templates of `files` and `{op}`.
+    /// The path, with the templates of the scenario's `files` and `{op}`, the operation's recorded name.
     pub path: String,
-    /// The body, with the same templates; null: none.
+    /// The JSON body, with the templates of `path`; null: no body.
     #[serde(default)]
     pub body: serde_json::Value,
     /// Name of the operation, recorded as `NAME-K` for its K-th call, from 0 on; absent: no operation is
     /// recorded.
     pub op: Option<String>,
-    /// JSON pointer to the operation's cursor in the answer.
+    /// JSON pointer to the operation's cursor in the answer; absent: the cursor is not recorded.
     #[serde(default)]
     pub cursor_at: Option<String>,
 }
@@ -225,13 +226,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubscriberAction {
-    /// This fraction (0 to 1) of them lose their connections at once, and reconnect after their backoff.
+    /// This fraction (0 to 1) of the subscribers lose their connections at once, and reconnect after their
+    /// retry time.
     Drop(f64),
-    /// This fraction (0 to 1) of them move to another manager at once, without a backoff.
+    /// This fraction (0 to 1) of the subscribers move to another manager at once, without a delay.
     Hop(f64),
-    /// A fraction of them read at a limited rate from now on.
+    /// A fraction of the subscribers read at a limited rate from now on.
     Slow {
-        /// The fraction; 0 to 1.
+        /// Fraction of the subscribers; 0 to 1.
         share: f64,
         /// Maximum rate in bytes per second; 0: no limit.
         bytes_s: f64,
@@ -244,9 +246,9 @@
 pub enum Action {
     /// Managers are killed (SIGKILL).
     Kill(ManagerSelector),
-    /// Managers are restarted, killed first where they run, with their folders as they are.
+    /// Managers are restarted with their folders unchanged; running ones are killed first.
     Restart(ManagerSelector),
-    /// As [`Action::Restart`], with their folders emptied.
+    /// Managers are restarted as by [`Action::Restart`], but with empty folders.
     RestartEmpty(ManagerSelector),
     /// Managers get SIGTERM and are restarted once they have exited.
     Roll(ManagerSelector),
@@ -254,34 +256,34 @@
     Pause(ManagerSelector),
     /// Managers are resumed (SIGCONT).
     Resume(ManagerSelector),
-    /// Managers' stores have these disk faults from their next start on.
+    /// The disks under managers' stores are faulty from the managers' next start on.
     Disk {
-        /// The managers.
+        /// The managers whose disks are faulty.
         who: ManagerSelector,
-        /// The faults.
+        /// The faults, which replace earlier ones.
         fault: DiskFaults,
     },
     /// A file in managers' folders loses its last bytes, as a torn write leaves it. The managers must be
     /// down.
     Tear {
-        /// The managers.
+        /// The managers whose file is truncated.
         who: ManagerSelector,
         /// Name of the file in the folder.
         file: String,
-        /// Number of bytes; a shorter file is emptied.
+        /// Number of bytes that are lost; a shorter file is emptied.
         bytes: u64,
     },
     /// Managers' folders are copied, each manager stopped meanwhile; a copy replaces an earlier one.
     KeepCopy(ManagerSelector),
-    /// Managers' folders are restored from their copies: operations acknowledged since are lost. The managers
-    /// must be down.
+    /// Managers' folders are restored from their copies, so operations acknowledged after the copy are lost.
+    /// The managers must be down.
     PutBack(ManagerSelector),
-    /// The list services answer in this way from now on.
+    /// The list services answer calls in this mode from now on.
     Lists(ListServiceMode),
     /// This number of new engines start cold, under new ids, and are published on the endpoint list.
     EnginesCome(usize),
-    /// Engines are published as draining; the range is by index among all engines so far, also in the next
-    /// actions.
+    /// Engines are published as draining. Here and in the actions below, the range selects among all engines
+    /// started so far, by index.
     EnginesDrain(FleetRange),
     /// Engines are published as gone and stop.
     EnginesGo(FleetRange),
@@ -312,24 +314,24 @@
         from: String,
         /// The party that accepted the connections.
         to: String,
-        /// The way in which they are cut.
+        /// Way in which the connections are cut.
         how: ConnectionCut,
     },
     /// Removes all rules of the fault proxy.
     Heal,
-    /// An HTTP call to managers.
+    /// Makes an HTTP call to managers.
     Call(Call),
-    /// An action on the stand-in subscribers.
+    /// Sends a command to the stand-in subscribers.
     Subscribers(SubscriberAction),
 }
 
-/// A step: an action and when it is performed.
+/// A step: an action and the times at which it is performed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Seconds after the first start.
+    /// Time of the first repetition, in seconds after the start of the run.
     pub at: f64,
-    /// Number of times that the action is performed.
+    /// Number of repetitions of the action; 1 if absent.
     #[serde(default = "once")]
     pub times: usize,
     /// Interval between two repetitions, in seconds.
@@ -338,7 +340,7 @@
     /// Maximum random delay of each repetition, in seconds, drawn by the seed.
     #[serde(default)]
     pub spread: f64,
-    /// The action.
+    /// Action that is performed at each repetition.
     #[serde(rename = "do")]
     pub action: Action,
 }
@@ -363,25 +365,26 @@
 pub struct FailpointFault {
     /// Name of the failpoint.
     pub point: String,
-    /// The managers; the fault occurs at most once in each.
+    /// Managers in which the fault can occur, at most once in each.
     #[serde(rename = "who")]
     pub managers: ManagerSelector,
-    /// The pass of the failpoint in one process at which the fault occurs, from 1 on.
+    /// The pass of the failpoint at which the fault occurs, counted from 1 in each process.
     #[serde(default = "first_pass")]
     pub pass: u32,
-    /// The fault occurs only in the first of the managers that reaches the failpoint.
+    /// Whether the fault occurs only in the first of the managers that reaches the failpoint.
     #[serde(default)]
     pub only_one: bool,
-    /// The fault.
+    /// Fault that is injected into the process.
     #[serde(rename = "do")]
     pub fault: ProcessFault,
-    /// Milliseconds after which the process is restarted or resumed; absent: never. 0 to 600,000.
+    /// Time after the fault at which the process is restarted or resumed, in milliseconds; 0 to 600,000;
+    /// absent: never.
     #[serde(rename = "back_ms")]
     pub resume_ms: Option<f64>,
     /// Further actions, performed at once after the fault.
     #[serde(default, rename = "also")]
     pub further_actions: Vec<Action>,
-    /// Time that a process waits at the failpoint for the fault, in milliseconds; 0 to 10,000.
+    /// Maximum time that a process waits at the failpoint for the fault, in milliseconds; 0 to 10,000.
     #[serde(default = "default_wait_ms")]
     pub wait_ms: u64,
 }
--- a/crates/cluster-harness/src/scenario/check.rs
+++ b/crates/cluster-harness/src/scenario/check.rs
@@ -48,7 +48,7 @@
     /// Validates the scenario.
     ///
     /// # Errors
-    /// The path of the first invalid field, and the rule that it violates.
+    /// The path of the first invalid field, and the rule that the field violates.
     pub fn check(&self) -> Result<(), InvalidScenario> {
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if self.name.is_empty() || self.name.len() > 64 || !self.name.chars().all(is_allowed) {
@@ -81,8 +81,8 @@
         if let Some(h) = self.history {
             check_range("history.most_mb", h.max_mb as f64, 1.0, 1_024.0)?;
         }
-        if let Some(terms) = &self.check {
-            terms.check().map_err(InvalidScenario::Check)?;
+        if let Some(check_config) = &self.check {
+            check_config.check().map_err(InvalidScenario::Check)?;
         }
         self.check_subscribers().map_err(|e| InvalidScenario::Subscribers(Box::new(e)))
     }
--- a/crates/cluster-harness/src/scenario/error.rs
+++ b/crates/cluster-harness/src/scenario/error.rs
@@ -20,7 +20,7 @@
 /// A rule that a scenario breaks, with the path of the field.
 #[derive(Debug, Error)]
 pub enum InvalidScenario {
-    /// A number lies outside its bounds.
+    /// A number lies outside its range.
     #[error(transparent)]
     Field(#[from] InvalidField),
     /// The faults of a process's disk or failpoints break a rule.
@@ -48,10 +48,10 @@
     /// The subscribers' section breaks a rule.
     #[error("subscribers.{0}")]
     Subscribers(#[source] Box<InvalidScenario>),
-    /// The scenario's own name is empty, too long or contains other characters.
+    /// The scenario's own name is empty, too long or contains characters that are not allowed.
     #[error("name: expected 1 to 64 letters, digits, '-' or '_', found {0:?}")]
     InvalidScenarioName(String),
-    /// A name is empty, too long, contains other characters or begins with a dot.
+    /// A name is empty, too long, contains characters that are not allowed, or begins with a dot.
     #[error("{path}: expected 1 to 64 letters, digits, '.', '-' or '_', not '.' first, found {name:?}")]
     InvalidName {
         /// The name's path.
@@ -92,7 +92,7 @@
     /// Managers are to know their zones, but there are fewer zones than groups.
     #[error("told_zone: there are more groups than zones")]
     MoreGroupsThanZones,
-    /// The zone that the figures are about does not exist.
+    /// The watched zone does not exist.
     #[error("watch.zone: unknown zone {0:?}")]
     UnknownWatchZone(String),
     /// The log text that precedes a port's address is empty or too long.
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -34,8 +34,8 @@
 /// Maximum number of managers of a run in which each is a party of its own in the fault proxy: each pair of
 /// managers needs a path for each port.
 pub const MAX_PAIRED_MANAGERS: usize = 32;
-/// Names of the zones of engines. Managers that know their zone are in the first one in group `a`, in the
-/// second one in group `b`, ...
+/// Names of the zones of engines. If managers know their zone, those of group `a` are in the first zone,
+/// those of group `b` in the second, ...
 pub const ZONES: [&str; 4] = ["hall-a", "hall-b", "hall-c", "hall-d"];
 /// Names of the groups of managers.
 pub const GROUPS: [&str; 4] = ["a", "b", "c", "d"];
@@ -60,13 +60,14 @@
     /// Managers know their zone, which is that of their group.
     #[serde(rename = "told_zone")]
     pub zone_aware: bool,
-    /// The zone that the run is about, and the time for which it is lost.
+    /// The zone whose loss the report has figures on; absent: these figures are not computed.
     pub watch: Option<Watch>,
     /// Settings of the failover between zones, in the format of their file; absent: failover is off.
     pub failover: Option<serde_json::Value>,
-    /// Managers keep a view of the fleet, by UDP through the fault proxy; absent: no membership.
+    /// Settings of the membership protocol, by which managers keep a view of the fleet over UDP through the
+    /// fault proxy; absent: managers keep no view.
     pub membership: Option<Membership>,
-    /// The clients' load.
+    /// Rate and kind of the clients' requests.
     pub load: Load,
     /// How the list services answer at the start.
     pub lists: ListServiceMode,
@@ -77,9 +78,9 @@
     pub drain_grace_ms: f64,
     /// Seed of everything that is drawn at random.
     pub seed: u64,
-    /// The steps of the run.
+    /// Actions that are performed during the run, each with its time.
     pub steps: Vec<Step>,
-    /// The version as which managers are started at first.
+    /// The version with which managers are first started, the template `{version}`.
     pub version: String,
     /// Each manager is a party of its own in the fault proxy, so that routes between two managers can have
     /// rules. There may be at most [`MAX_PAIRED_MANAGERS`] managers then. For UDP each manager always is a
@@ -90,11 +91,12 @@
     /// Files that are written into each manager's folder at each start, by name: JSON with templates in its
     /// strings.
     pub files: BTreeMap<String, serde_json::Value>,
-    /// Further arguments of `serve`, with templates.
+    /// Additional arguments of `serve`, with templates.
     pub args: Vec<String>,
-    /// Clock offsets in milliseconds, by the name of a manager or group; the template `{clock_offset_ms}`.
+    /// Clock offsets in milliseconds, by the name of a manager or group. The template `{clock_offset_ms}`
+    /// stands for a manager's offset.
     pub clocks: Clocks,
-    /// Restarts of processes that end by themselves.
+    /// Restarts of processes that exit by themselves.
     pub supervise: Supervise,
     /// Faults of managers that reach a failpoint.
     #[serde(rename = "strikes")]
@@ -103,7 +105,7 @@
     pub history: Option<History>,
     /// Configuration of the history checker; absent: the history is not checked.
     pub check: Option<CheckConfig>,
-    /// Stand-in subscribers.
+    /// Stand-in subscribers of the managers' journal; by default there are none.
     pub subscribers: Subscribers,
 }
 
@@ -145,7 +147,7 @@
     /// Parses and validates a scenario in JSON5.
     ///
     /// # Errors
-    /// The line and field of a syntax error, or the invalid field and the rule that it violates.
+    /// If the text is not valid JSON5 or a field is unknown, or if a field violates a rule.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = json5::from_str(text)?;
         scenario.check()?;
@@ -184,8 +186,8 @@
         self.history.is_some() || self.check.is_some()
     }
 
-    /// The names of the managers' parties in the fault proxy: those of the managers with `pairs`, else of the
-    /// groups.
+    /// The names of the managers' parties in the fault proxy: the managers' names with `pairs`, else the
+    /// groups' names.
     pub fn parties(&self) -> Vec<String> {
         match self.pairs {
             true => (0..self.managers).map(|i| format!("n{i}")).collect(),
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -5,15 +5,15 @@
 use sprucelink_membership::{ProtocolConfig, SharingConfig};
 use std::collections::BTreeMap;
 
-/// The zone that a run is about, for the report's figures on its loss.
+/// The watched zone: the report has figures on its loss.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Watch {
-    /// The zone.
+    /// Name of the zone, one of [`ZONES`](super::ZONES).
     pub zone: String,
-    /// Time at which the zone is lost, in seconds.
+    /// Time at which the steps make the zone fail, in seconds after the start of the run.
     pub from: f64,
-    /// Time at which the zone comes back, in seconds.
+    /// Time at which the steps bring the zone back, in seconds after the start of the run.
     pub to: f64,
 }
 
@@ -29,7 +29,7 @@
     pub missing: usize,
     /// Number of engines, the first ones, that are slower by a factor of ten.
     pub slow: usize,
-    /// Cores of each engine.
+    /// Number of cores of each engine.
     pub cores: f64,
     /// Work of a light query on one core, in milliseconds.
     pub light_ms: f64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The clients' load.
+/// Rate and kind of the clients' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -53,8 +53,8 @@
     pub heavy: f64,
     /// Timeout of a request, in milliseconds; 100 to 20,000.
     pub timeout_ms: f64,
-    /// While a manager is down, its clients send each request to another manager at random; else they send
-    /// none.
+    /// Whether the clients of a manager that is down send each request to another manager at random; else
+    /// they send none.
     pub follow: bool,
 }
 
@@ -85,16 +85,17 @@
     pub log_prefix: String,
 }
 
-/// Restarts of processes that have ended by themselves.
+/// Restarts of processes that have exited by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Supervise {
-    /// Crashed processes are restarted, too; else only those that request another version (exit status 75).
+    /// Whether crashed processes are restarted, too; else only processes that request another version (exit
+    /// status 75) are.
     pub crashed: bool,
     /// Delay of a restart, in milliseconds; 0 to 60,000.
     #[serde(rename = "back_ms")]
     pub restart_delay_ms: f64,
-    /// Maximum number of restarts of one manager in a run; after them it stays down. 0 to 1,000.
+    /// Maximum number of restarts of one manager in a run, after which the manager stays down; 0 to 1,000.
     #[serde(rename = "most")]
     pub max_restarts: usize,
 }
@@ -122,7 +123,7 @@
     }
 }
 
-/// Stand-in subscribers.
+/// Stand-in subscribers of the managers' journal: their number, connections and reading of records.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Subscribers {
@@ -130,7 +131,7 @@
     pub count: usize,
     /// Time over which the subscribers start one after the other, in milliseconds.
     pub over_ms: f64,
-    /// Time at which the first subscriber starts, in seconds.
+    /// Time at which the first subscriber starts, in seconds after the start of the run.
     pub at: f64,
     /// Name of the managers' port, one of the scenario's `ports`.
     pub port: String,
@@ -145,14 +146,14 @@
     /// Mean time after which a subscriber moves to another manager, in seconds; 0: never.
     pub hop_s: f64,
     /// Time until a subscriber reconnects, in milliseconds; the stream can change it (`retry`). Each delay is
-    /// drawn from 0.5 to 1.5 times this.
+    /// drawn from 0.5 to 1.5 times this value.
     pub retry_ms: f64,
     /// Time without data after which a subscriber considers its connection dead, in milliseconds.
     pub silent_ms: f64,
     /// JSON pointer to the position before a record, in the record's data.
     #[serde(rename = "prev_at")]
     pub previous_pointer: String,
-    /// JSON pointer to the operation that a record carries out, in the record's data.
+    /// JSON pointer to the name of the operation that a record carries out, in the record's data.
     #[serde(rename = "op_at")]
     pub operation_pointer: String,
     /// JSON pointers to the fields that a version needs to read a record, by version and record name.
--- a/crates/cluster-harness/src/scenario/tests.rs
+++ b/crates/cluster-harness/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of parsing, validation and selection.
+//! Tests of parsing and validating scenarios, and of selecting managers.
 
 use super::*;
 
