--- a/crates/cluster-harness/src/subscribers/marks.rs
+++ b/crates/cluster-harness/src/subscribers/marks.rs
@@ -24,7 +24,7 @@
 
 impl KnownReleases {
     /// The history events that a record stands for. A halt of a release that this subscriber has not read
-    /// gives none: subscribers that have read the release record it.
+    /// gives no event: subscribers that have read the release record the halt.
     pub fn events_of(&mut self, marks: &Marks, name: &str, value: &Value) -> Vec<Event> {
         let mut all = Vec::new();
         if marks.only.iter().any(|(at, expected)| value.pointer(at).unwrap_or(&Value::Null) != expected) {
--- a/crates/cluster-harness/src/subscribers/marks/tests.rs
+++ b/crates/cluster-harness/src/subscribers/marks/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `marks`.
+//! Tests of finding releases, halts and schemas by a scenario's marks.
 
 use super::*;
 use serde_json::json;
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -25,14 +25,15 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Commands queued for a subscriber; one that falls further behind misses the oldest.
+/// Maximum number of commands queued for a subscriber; a subscriber that falls further behind misses the
+/// oldest ones.
 const MAX_COMMANDS: usize = 64;
 /// Status of an answer to a cursor that is no longer valid (RFC 9110, 410 Gone): the subscriber drops its
 /// cursor and state.
 const GONE: u16 = 410;
 
-/// Marks that are remembered, so that each is recorded once; further ones are recorded by every subscriber
-/// that reads them.
+/// Maximum number of marks that are remembered, so that each is recorded once; further marks are recorded by
+/// every subscriber that reads them.
 const MAX_RECORDED_MARKS: usize = 100_000;
 
 struct Shared {
@@ -41,11 +42,11 @@
     /// Names and addresses of the managers to which subscribers connect.
     managers: Vec<(String, SocketAddr)>,
     history: Recorder,
-    /// Marks that are in the history already: all subscribers read the same halt.
+    /// Marks that are in the history already; without them, each mark would be recorded once per subscriber.
     recorded_marks: Mutex<BTreeSet<String>>,
 }
 
-/// All stand-in subscribers of a run; they stop when this is dropped.
+/// All stand-in subscribers of a run; dropping the value stops them.
 pub struct Subscribers {
     commands: broadcast::Sender<(u64, SubscriberAction)>,
     /// Number of commands sent so far.
@@ -60,7 +61,8 @@
 }
 
 impl Subscribers {
-    /// Starts the scenario's subscribers, which connect to these managers, at their times after `start`.
+    /// Starts the scenario's subscribers, each at its time after `start`. They connect to `managers`, given by
+    /// name and address.
     pub fn start(
         scenario: &Scenario,
         start: Instant,
@@ -87,7 +89,7 @@
         Subscribers { commands, commands_sent: 0, tasks }
     }
 
-    /// Sends a command to all subscribers; each applies it if it is among the drawn fraction.
+    /// Sends a command to all subscribers; each subscriber in the drawn fraction applies it.
     pub fn command(&mut self, action: SubscriberAction) {
         self.commands_sent += 1;
         // Sending fails if there are no receivers, which is not an error here.
@@ -98,22 +100,23 @@
 /// Why reading a stream ended.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
-    /// An event exceeds its bound.
+    /// An event exceeds the maximum size.
     #[error(transparent)]
     EventTooLong(#[from] sse::EventTooLong),
-    /// An event has no cursor to resume from.
+    /// The id of an event is not a valid cursor.
     #[error(transparent)]
     InvalidCursor(#[from] reader::InvalidEventCursor),
 }
 
 /// Why a connection ended, which determines how the subscriber reconnects.
 enum Disconnect {
-    /// The connection was lost, for this reason: the subscriber connects to another manager after its
-    /// backoff.
+    /// The connection was lost for this reason; the subscriber connects to another manager after its retry
+    /// time.
     Lost(String),
     /// The subscriber leaves for another manager at once.
     Hopped,
-    /// As [`Disconnect::Lost`], and the subscriber's cursor is no longer valid.
+    /// The connection ended for this reason, and the subscriber's cursor is no longer valid; the subscriber
+    /// connects to another manager after its retry time, without a cursor.
     CursorGone(String),
 }
 
@@ -168,8 +171,8 @@
     }
 }
 
-/// Applies a command to a subscriber, if it is among the fraction that the command is for. Returns why its
-/// connection ends, if it does.
+/// Applies a command to a subscriber, if the subscriber is in the drawn fraction. Returns why the
+/// subscriber's connection ends, if the command ends it.
 fn apply_command(
     shared: &Shared,
     reader: &Reader<'_>,
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -27,7 +27,7 @@
 /// good.
 const MAX_RETRY: Duration = Duration::from_secs(60);
 
-/// One subscriber.
+/// State of one subscriber over all its connections.
 #[derive(Debug)]
 pub struct Reader<'a> {
     spec: &'a Spec,
@@ -35,7 +35,7 @@
     rng: ChaCha8Rng,
     /// Name of the subscriber in the history and in requests.
     pub name: String,
-    /// Protocol version of the subscriber.
+    /// Protocol version that the subscriber requests and can read.
     pub version: String,
     /// Filter in the requested path; empty: none.
     pub filter: String,
@@ -82,7 +82,7 @@
     /// events for the history.
     ///
     /// # Errors
-    /// If the id of an event is not a cursor: the subscriber could not resume after it.
+    /// If the id of an event is not a valid cursor, so that the subscriber could not resume after the event.
     pub fn process(&mut self, manager: &str, item: StreamItem) -> Result<Vec<Event>, InvalidEventCursor> {
         let (name, id, data) = match item {
             StreamItem::Retry(ms) => {
--- a/crates/cluster-harness/src/subscribers/reader/tests.rs
+++ b/crates/cluster-harness/src/subscribers/reader/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `reader`.
+//! Tests of a subscriber's cursor, record digests, hops and delays.
 
 use super::*;
 
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -9,7 +9,7 @@
 #[error("an event of over {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// An item of a stream.
+/// A parsed item of an event stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
     /// An event.
@@ -25,7 +25,7 @@
     Retry(u64),
 }
 
-/// State of the parser.
+/// State of the parser of one stream.
 #[derive(Debug, Default)]
 pub struct Stream {
     line: Vec<u8>,
--- a/crates/cluster-harness/src/subscribers/sse/tests.rs
+++ b/crates/cluster-harness/src/subscribers/sse/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `sse`.
+//! Tests of parsing server-sent events in chunks, and of the maximum size of an event.
 
 use super::*;
 
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -72,18 +72,18 @@
     Ok(out)
 }
 
-/// Checks that a text's templates and their ports are known; `port` tells whether the scenario declares a
-/// port.
+/// Checks that a text's templates and their ports are known; `is_port` returns whether the scenario declares
+/// a port of a name.
 ///
 /// # Errors
 /// The first unknown template.
-pub fn check(text: &str, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
+pub fn check(text: &str, is_port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     let known = |inside: &str| {
         let mut parts = inside.split(':');
         match (parts.next(), parts.next(), parts.next(), parts.next()) {
             (Some(word), None, ..) => VARIABLES.contains(&word),
-            (Some("peers" | "peers_json"), Some(p), None, _) => port(p),
-            (Some("at"), Some(p), Some(_), None) => port(p),
+            (Some("peers" | "peers_json"), Some(port), None, _) => is_port(port),
+            (Some("at"), Some(port), Some(_), None) => is_port(port),
             _ => false,
         }
     };
@@ -94,15 +94,15 @@
     replace(text, value_of).map(|_| ())
 }
 
-/// As [`check`], for every string in a JSON value.
+/// Checks every string in a JSON value as [`check`] does.
 ///
 /// # Errors
 /// The first unknown template.
-pub fn check_value(value: &Value, port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
+pub fn check_value(value: &Value, is_port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     match value {
-        Value::String(text) => check(text, port),
-        Value::Array(all) => all.iter().try_for_each(|v| check_value(v, port)),
-        Value::Object(all) => all.values().try_for_each(|v| check_value(v, port)),
+        Value::String(text) => check(text, is_port),
+        Value::Array(all) => all.iter().try_for_each(|v| check_value(v, is_port)),
+        Value::Object(all) => all.values().try_for_each(|v| check_value(v, is_port)),
         _ => Ok(()),
     }
 }
--- a/crates/cluster-harness/src/template/tests.rs
+++ b/crates/cluster-harness/src/template/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `template`.
+//! Tests that templates in texts and JSON values are filled, and that unknown ones are errors.
 
 use super::*;
 
@@ -15,7 +15,7 @@
     let filled = json!({ "me": "n2", "offset": -250,
         "peers": [[{ "name": "n0", "address": "127.0.0.1:9" }]], "n": 1 });
     assert_eq!(values.fill_value(&file), Ok(filled));
-    let port = |p: &str| p == "council";
-    assert!(check_value(&file, &port).is_ok());
-    assert!(check("{at:council}", &port).is_err() && check("{peers:x}", &port).is_err());
+    let is_port = |p: &str| p == "council";
+    assert!(check_value(&file, &is_port).is_ok());
+    assert!(check("{at:council}", &is_port).is_err() && check("{peers:x}", &is_port).is_err());
 }
