--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -23,12 +23,12 @@
     pub second_attempts: u64,
     /// Attempts that reached a draining engine after the grace period.
     pub after_drain: u64,
-    /// Falls of cold engines under too much work.
+    /// Number of times that a cold engine fell over under too much work.
     #[serde(rename = "pushed_over")]
     pub cold_engine_falls: u64,
     /// All attempts that reached an engine.
     pub attempts: u64,
-    /// Attempts other than the first of their request.
+    /// Attempts other than the first one of their request.
     #[serde(rename = "further")]
     pub retries: u64,
 }
--- a/crates/cluster-harness/src/ledger/tests.rs
+++ b/crates/cluster-harness/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `ledger`.
+//! Tests that the ledger counts each attempt that breaks a rule.
 
 use super::*;
 
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -9,11 +9,11 @@
 
 /// Width of the buckets of charts and of [`Outcomes`].
 pub const BUCKET: Duration = Duration::from_millis(250);
-/// Fraction of the requests that must be served from a time on for the start of the fleet to be over.
-pub const SERVING: f64 = 0.95;
+/// Minimum fraction of served requests; the start of the fleet is over when no later bucket is below it.
+pub const MIN_SERVED_FRACTION: f64 = 0.95;
 
 /// Numbers of requests by outcome, in buckets of [`BUCKET`] by the times at which they were due. Requests
-/// whose manager was killed or stopped meanwhile are left out.
+/// without a complete answer whose manager was killed or stopped after they were due are left out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcomes {
     /// Requests sent by clients.
@@ -23,7 +23,7 @@
     /// Requests with an error after which a retry is safe.
     pub refused: Vec<u32>,
     /// Requests that failed, were lost or could not be sent.
-    pub bad: Vec<u32>,
+    pub failed_or_lost: Vec<u32>,
 }
 
 impl Outcomes {
@@ -35,9 +35,9 @@
         sum(&self.served) / sum(&self.issued).max(1.0)
     }
 
-    /// Seconds from the start to the end of the last bucket in which less than [`SERVING`] of the requests
-    /// were served; 0 if there was none. Buckets with fewer than `min_requests` are joined with the following
-    /// ones.
+    /// Seconds from the start of the run to the end of the last bucket in which less than
+    /// [`MIN_SERVED_FRACTION`] of the requests were served; 0 if there was no such bucket. Buckets with fewer
+    /// than `min_requests` requests are joined with the following ones.
     pub fn seconds_to_serving(&self, min_requests: u32) -> f64 {
         let mut issued = 0;
         let mut served = 0;
@@ -46,7 +46,7 @@
             issued += self.issued[i];
             served += self.served[i];
             if issued >= min_requests.max(1) {
-                if f64::from(served) < SERVING * f64::from(issued) {
+                if f64::from(served) < MIN_SERVED_FRACTION * f64::from(issued) {
                     buckets = i + 1;
                 }
                 issued = 0;
@@ -66,10 +66,10 @@
     pub cold_start: bool,
     /// Number of managers.
     pub managers: usize,
-    /// Managers that were ready at least once.
+    /// Number of managers that were ready at least once.
     pub became_ready: usize,
-    /// Processes that crashed: they exited by themselves without naming a next version, or failed to exit in
-    /// order after SIGTERM.
+    /// Number of processes that crashed: they exited by themselves without naming a next version, or after
+    /// SIGTERM with a status other than 0 or not in time.
     pub crashed: usize,
     /// Requests that clients sent.
     pub issued: u64,
@@ -83,15 +83,16 @@
     pub lost: u64,
     /// Requests without a complete answer whose manager was killed or stopped after they were due.
     pub died: u64,
-    /// Requests that could not be sent.
+    /// Requests that could not be sent to a manager that was not killed or stopped.
     pub not_taken: u64,
     /// Median latency of the served requests, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the latency of the served requests, in milliseconds.
     pub p99_ms: f64,
-    /// Seconds until 95% of the requests are served from then on.
+    /// Seconds from the start of the run to the end of the last bucket in which fewer than 95% of the
+    /// requests were served ([`Outcomes::seconds_to_serving`]).
     pub serving_s: f64,
-    /// Calls to the list services.
+    /// Number of calls to the list services.
     pub calls: usize,
     /// Maximum number of calls to the list services in 100 ms.
     pub calls_100ms: usize,
@@ -99,7 +100,7 @@
     pub calls_1s: usize,
     /// Calls to the list services per second in the last third of the run.
     pub calls_steady: f64,
-    /// Connections to engines.
+    /// Number of connections to engines.
     pub dials: usize,
     /// Maximum number of connections to engines in 100 ms.
     pub dials_100ms: usize,
@@ -113,9 +114,10 @@
     pub crossing: f64,
     /// Fraction of the attempts that crossed zones before the watched zone was lost, from second 1 on.
     pub crossed_before: f64,
-    /// Seconds from the loss of the watched zone until 95% of the managers that had sent there sent
-    /// elsewhere; NaN if it can't be determined. Computed from the attempts that reached engines, so it is
-    /// meaningless if a partition blocks the attempts.
+    /// Seconds from the loss of the watched zone until 95% of the managers that had sent attempts there had
+    /// left it ([`crate::run::Outcome::zone_departure_seconds`]); NaN if no manager had sent attempts there.
+    /// Computed from the attempts that reached engines, so it is meaningless if a partition blocks the
+    /// attempts.
     pub left_s: f64,
     /// Fraction of the requests that were served while the watched zone was lost.
     pub served_away: f64,
@@ -127,25 +129,27 @@
     /// Fraction of the attempts of the watched zone's own managers that went to their zone in the last 5 s of
     /// the run.
     pub home_last: f64,
-    /// Managers that logged the ejection of the watched zone.
+    /// Number of managers that logged the ejection of the watched zone after its loss.
     pub managers_with_ejection: usize,
-    /// Seconds from the loss of the watched zone until half of these managers had logged it.
+    /// Seconds from the loss of the watched zone until half of these managers had logged the ejection; NaN if
+    /// there are none.
     pub ejection_p50_s: f64,
-    /// Seconds from the loss of the watched zone until 95% of these managers had logged it.
+    /// Seconds from the loss of the watched zone until 95% of these managers had logged the ejection; NaN if
+    /// there are none.
     pub ejection_p95_s: f64,
     /// Processor time of a manager's process, in seconds; the mean over the processes at the end of the run.
     pub cpu_s: f64,
     /// Seconds from the start until all views of the fleet were right for the rest of the run; NaN if they
     /// were not right at the end, or in a run without membership.
     pub agreed_s: f64,
-    /// Attempts that reached engines, and those that broke a rule.
+    /// Numbers of attempts that reached engines, and of those that broke a rule.
     pub attempt_counts: AttemptCounts,
     /// Violations of the journal's invariants that the checker found; absent if no history was checked.
     pub violations: Option<usize>,
 }
 
 impl Report {
-    /// The figures as texts with their column names, in the order of the table.
+    /// The figures as text, each with its column name, in the order of the table.
     pub fn fields(&self) -> Vec<(&'static str, String)> {
         let counts = &self.attempt_counts;
         vec![
@@ -226,11 +230,11 @@
     pub source: Box<dyn std::error::Error>,
 }
 
-/// A line of a chart.
+/// A line of a chart over the time of the run.
 pub struct Series<'a> {
     /// Label of the line in the legend.
     pub name: &'a str,
-    /// Values by bucket of [`BUCKET`].
+    /// Values of the line, one per bucket of [`BUCKET`].
     pub values: Vec<f64>,
 }
 
--- a/crates/cluster-harness/src/report/tests.rs
+++ b/crates/cluster-harness/src/report/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `report`.
+//! Tests of the table, of the time until requests are served, and of the chart.
 
 use super::*;
 
--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -46,7 +46,7 @@
     }
 
     /// Disarms and returns the fault of manager `i` at a failpoint that it has reached.
-    fn take(&mut self, i: usize, point: &str) -> Option<FailpointFault> {
+    fn disarm(&mut self, i: usize, point: &str) -> Option<FailpointFault> {
         let armed =
             self.0.iter_mut().find(|armed| armed.fault.point == point && armed.managers.contains(&i))?;
         armed.managers.remove(&i);
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Connects the ports whose listen addresses a log line contains.
+    /// Sets the listen addresses of manager `i`'s ports that a log line contains.
     fn find_ports(&mut self, i: usize, line: &str) {
         let ports = &self.scenario.ports;
         let peers = &self.peers;
@@ -88,8 +88,10 @@
         });
     }
 
+    /// Injects the fault of manager `i` at a failpoint that it has reached, if one is armed, and schedules the
+    /// process's restart or resumption.
     fn inject(&mut self, i: usize, point: &str) -> Result<(), RunError> {
-        let Some(fault) = self.failpoint_faults.take(i, point) else { return Ok(()) };
+        let Some(fault) = self.failpoint_faults.disarm(i, point) else { return Ok(()) };
         self.history.record(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
         let recovery = match fault.fault {
             ProcessFault::Kill => {
@@ -110,7 +112,7 @@
         fault.further_actions.iter().try_for_each(|action| self.perform(action))
     }
 
-    /// Stops manager `i` (SIGSTOP), whatever its state.
+    /// Stops manager `i` (SIGSTOP), in any state of its process.
     pub(super) fn pause(&mut self, i: usize) -> Result<(), RunError> {
         self.mark_unavailable(i);
         self.fleet.signal(i, Signal::SIGSTOP)?;
--- a/crates/cluster-harness/src/run/figures.rs
+++ b/crates/cluster-harness/src/run/figures.rs
@@ -8,16 +8,19 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-/// The shorter window in which peaks of polls and connections are counted.
+/// Shorter window of the peak rates of list service calls and of connections to engines.
 const PEAK_100MS: Duration = Duration::from_millis(100);
-/// The longer window in which peaks of polls and connections are counted.
+/// Longer window of the peak rates of list service calls and of connections to engines.
 const PEAK_1S: Duration = Duration::from_secs(1);
 
 impl Harness<'_> {
+    /// Computes the figures of the run so far, without those of the watched zone and of the history; `logs`
+    /// has the log of each manager.
     pub(super) fn outcome(&self, logs: Vec<String>) -> Outcome {
         let buckets = (self.scenario.seconds / BUCKET.as_secs_f64()).ceil() as usize;
         let zeros = || vec![0u32; buckets];
-        let mut requests = Outcomes { issued: zeros(), served: zeros(), refused: zeros(), bad: zeros() };
+        let mut requests =
+            Outcomes { issued: zeros(), served: zeros(), refused: zeros(), failed_or_lost: zeros() };
         let mut report = Report {
             scenario: self.scenario.name.clone(),
             cold_start: self.program.args.iter().any(|a| a == "--cold-start"),
@@ -48,13 +51,13 @@
 
     /// Counts the requests by outcome, in total and per time bucket.
     fn count_requests(&self, report: &mut Report, requests: &mut Outcomes, buckets: usize) {
-        // Bounds are valid constants: microseconds up to a minute, three digits.
+        // These bounds are always valid: 1 microsecond to a minute, with three significant digits.
         let mut latency_us = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
         for request in self.completed.lock().unwrap_or_else(PoisonError::into_inner).iter() {
             let i = ((request.due.as_micros() / BUCKET.as_micros()) as usize).min(buckets - 1);
             report.issued += 1;
-            let bad = matches!(request.outcome, RequestOutcome::Lost | RequestOutcome::NotTaken);
-            if request.manager_failed && bad {
+            let unanswered = matches!(request.outcome, RequestOutcome::Lost | RequestOutcome::NotTaken);
+            if request.manager_failed && unanswered {
                 report.died += 1;
                 continue;
             }
@@ -71,15 +74,15 @@
                 }
                 RequestOutcome::Failed => {
                     report.failed += 1;
-                    requests.bad[i] += 1;
+                    requests.failed_or_lost[i] += 1;
                 }
                 RequestOutcome::NotTaken => {
                     report.not_taken += 1;
-                    requests.bad[i] += 1;
+                    requests.failed_or_lost[i] += 1;
                 }
                 RequestOutcome::Lost => {
                     report.lost += 1;
-                    requests.bad[i] += 1;
+                    requests.failed_or_lost[i] += 1;
                 }
             }
         }
@@ -87,7 +90,8 @@
         report.p99_ms = latency_us.value_at_quantile(0.99) as f64 / 1e3;
     }
 
-    /// Adds up the connections to all engines; sets the highest peak and thread count of a single engine.
+    /// Adds up the connections to all engines; sets the report's highest peak of connections and highest
+    /// number of threads of a single engine.
     fn count_dials(&self, report: &mut Report) -> Counted {
         let mut dials = Counted::default();
         for engine in self.engines.iter().filter_map(|e| e.run.as_ref()) {
@@ -99,7 +103,8 @@
         dials
     }
 
-    /// Sets the totals and peaks of polls and connections, and the steady rate of polls.
+    /// Sets the totals and peaks of list service calls and of connections to engines, and the steady rate of
+    /// the calls.
     fn summarize_connections(&self, report: &mut Report, calls: &Counted, dials: &Counted) {
         let end = Duration::from_secs_f64(self.scenario.seconds);
         report.calls = calls.times.len();
--- a/crates/cluster-harness/src/run/load.rs
+++ b/crates/cluster-harness/src/run/load.rs
@@ -14,7 +14,8 @@
 
 /// Maximum number of further managers that a client tries when its own is down.
 const MAX_ALTERNATIVES: usize = 8;
-/// Maximum number of requests in flight at one manager; while it has more, clients send it no further ones.
+/// Maximum number of requests in flight at one manager. While a manager has more, requests to it are not
+/// sent, and not counted.
 const MAX_OPEN: usize = 2_000;
 
 /// The address at which a manager accepts new requests now; `None` while it accepts none.
@@ -28,7 +29,8 @@
     /// The manager's index.
     manager: usize,
     own: Arc<Mutex<Availability>>,
-    /// The managers that take over while the own one is down; empty where clients do not fail over.
+    /// The managers that get the requests while the clients' own manager is down; empty if clients do not
+    /// fail over.
     alternatives: Vec<Weak<Mutex<Availability>>>,
     completed: Arc<Mutex<Vec<CompletedRequest>>>,
     start: Instant,
@@ -75,7 +77,8 @@
         }
     }
 
-    /// The own manager while it accepts requests, else one drawn at random, which may be down as well.
+    /// The clients' own manager while it accepts requests, else a manager drawn at random, which may be down
+    /// as well.
     fn choose_manager(&mut self) -> Arc<Mutex<Availability>> {
         let mut target = Arc::clone(&self.own);
         for _ in 0..MAX_ALTERNATIVES {
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Requests in flight: each holds a reference to its manager's availability.
+    /// Number of requests in flight, counted by the references that they hold to their managers'
+    /// availability.
     pub(super) fn requests_in_flight(&self) -> usize {
         self.availability.iter().map(|manager| Arc::strong_count(manager).saturating_sub(1)).sum()
     }
--- a/crates/cluster-harness/src/run/mod.rs
+++ b/crates/cluster-harness/src/run/mod.rs
@@ -47,18 +47,18 @@
 pub struct Program {
     /// The executable.
     pub path: PathBuf,
-    /// Further arguments of `serve`.
+    /// Additional arguments of `serve`, the same for all managers.
     pub args: Vec<String>,
     /// Folder for configurations and logs.
     pub dir: PathBuf,
 }
 
-/// Whether clients send requests to a manager.
+/// Where, and until when, clients send requests to a manager.
 #[derive(Default)]
 struct Availability {
     /// Address at which the manager serves; `None` while it is down or paused.
     address: Option<SocketAddr>,
-    /// Time after SIGTERM at which clients stop sending to the manager.
+    /// Instant at which clients stop sending to a manager that got SIGTERM; `None` if it got none.
     until: Option<Instant>,
     /// Time at which the manager last became unavailable: requests that were due before may be lost.
     unavailable_since: Option<Instant>,
@@ -86,11 +86,11 @@
     paths: Vec<TcpPath>,
     /// Phase on the endpoint list: `ready`, `draining` or `gone`.
     phase: &'static str,
-    /// Unix milliseconds of a cold start, or 0.
+    /// Unix time of the engine's last cold start, in milliseconds; 0: the engine started warm.
     since_ms: u128,
 }
 
-/// A completed request.
+/// A request that was answered, or given up by its client.
 struct CompletedRequest {
     /// Time at which the request was due, since the start of the run.
     due: Duration,
@@ -163,7 +163,7 @@
     let clients = harness.start_clients();
     let played = harness.play(&mut timeline);
     clients.iter().for_each(|t| t.abort());
-    // Each request ends within its timeout and a second; do not wait longer.
+    // Each request ends at most one second after its timeout, so a longer wait is not needed.
     let max_wait = Duration::from_secs_f64(scenario.load.timeout_ms / 1e3) + Duration::from_secs(1);
     let deadline = Instant::now() + max_wait;
     while played.is_ok() && harness.requests_in_flight() > 0 && Instant::now() < deadline {
@@ -174,7 +174,7 @@
     let cpu_seconds: Vec<f64> =
         (0..harness.fleet.managers.len()).filter_map(|i| harness.fleet.cpu(i)).collect();
     let mean_cpu_seconds = cpu_seconds.iter().sum::<f64>() / cpu_seconds.len().max(1) as f64;
-    // The run is over: exits from here on do not belong in the history.
+    // The run is over: later exits do not belong in the history.
     harness.subscribers = None;
     let recorded = harness.history.end();
     harness.fleet.end_all();
@@ -226,7 +226,7 @@
     std::env::temp_dir().join(format!("sprucelink-cluster-harness-{}-{name}", std::process::id()))
 }
 
-/// Removes a folder of [`scratch`]; errors are ignored, also that it does not exist.
+/// Removes a folder of [`scratch`]. Errors are ignored, since the folder may not exist.
 pub fn clear(dir: &Path) {
     let _ = std::fs::remove_dir_all(dir);
 }
--- a/crates/cluster-harness/src/run/outcome.rs
+++ b/crates/cluster-harness/src/run/outcome.rs
@@ -1,4 +1,4 @@
-//! The result of a run.
+//! The result of a run: its figures, and what is computed from its attempts, views and history.
 
 use super::RunError;
 use crate::history;
@@ -14,7 +14,7 @@
 pub struct Outcome {
     /// The figures of the run.
     pub report: Report,
-    /// Requests by outcome, per time bucket.
+    /// Requests by outcome, per bucket of [`crate::report::BUCKET`].
     pub requests: Outcomes,
     /// Calls to the list services, per bucket of [`crate::report::BUCKET`].
     pub calls: Vec<u32>,
@@ -28,14 +28,14 @@
     pub views: Vec<Views>,
     /// Path of the history, if one was recorded.
     pub history: Option<PathBuf>,
-    /// The result of the history checker, if the scenario has checks.
+    /// The result of the history checker; absent if the scenario has no `check` section.
     pub verdict: Option<CheckReport>,
 }
 
 /// Agreement of the managers' views of the fleet in one round of polling.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Views {
-    /// Seconds after the start.
+    /// Time of the round, in seconds after the start of the run.
     pub at: f64,
     /// Number of managers that were polled and answered.
     pub polled: usize,
@@ -116,9 +116,11 @@
         (all.iter().filter(|s| usize::from(s.engine) % scenario.zones == zone).count(), all.len())
     }
 
-    /// Seconds after `from` until 95% of the managers that sent to a zone's engines in the second before
-    /// `from` send at most one in ten of their attempts there in each following half second up to `to`;
-    /// `None` if none sent there.
+    /// The time that managers take to leave a zone, in seconds after `from`: the 95th percentile over the
+    /// managers that sent attempts to the zone's engines in the second before `from`. A manager has left with
+    /// its last attempt to the zone in the last half second before `to` in which more than one in ten of its
+    /// attempts went there, or at `from` if there is no such half second. `None` if no manager sent attempts
+    /// there.
     pub fn zone_departure_seconds(
         &self,
         scenario: &Scenario,
@@ -156,8 +158,8 @@
         departures.get(rank.checked_sub(1)?).copied()
     }
 
-    /// Seconds after `from` until all views were right and stayed right up to `to`; `None` if they were not
-    /// at the end.
+    /// Seconds after `from` until all views were right and stayed right up to `to`; `None` if a view was
+    /// wrong in the last round of polling, or no manager was polled.
     pub fn seconds_to_agreement(&self, from: f64, to: f64) -> Option<f64> {
         let polls: Vec<&Views> =
             self.views.iter().filter(|v| v.at >= from && v.at < to && v.polled > 0).collect();
--- a/crates/cluster-harness/src/run/partitions.rs
+++ b/crates/cluster-harness/src/run/partitions.rs
@@ -19,7 +19,7 @@
         expand(from).into_iter().flat_map(|f| to.iter().map(move |t| (f.clone(), t.clone()))).collect()
     }
 
-    /// Sets the rule from one party to another.
+    /// Sets the fault proxy's rule from one party to another.
     pub(super) fn set_rule(&mut self, from: &str, to: &str, rule: Rule) {
         for (from, to) in self.routes(from, to) {
             self.faults.set_rule(&from, &to, rule);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Removes all rules.
+    /// Removes all rules of the fault proxy.
     pub(super) fn heal(&mut self) {
         self.faults.heal();
         for (from, to) in std::mem::take(&mut self.blocked_routes) {
--- a/crates/cluster-harness/src/run/process.rs
+++ b/crates/cluster-harness/src/run/process.rs
@@ -25,7 +25,7 @@
     pub(super) alive: bool,
     /// Number of restarts by the supervisor so far.
     pub(super) supervised_restarts: usize,
-    /// Reader of the process's log; absent where no ports or failpoints are read from it.
+    /// Reader of the process's log; absent if the scenario has no ports and no failpoint faults.
     pub(super) tail: Option<Tail>,
     /// Ports whose address the log has not shown yet, by index in the scenario's `ports`.
     pub(super) unbound: Vec<usize>,
@@ -42,7 +42,7 @@
 }
 
 impl Harness<'_> {
-    /// Starts manager `i`, with an empty folder if `emptied`; a running one is killed first.
+    /// Starts manager `i`, with an empty folder if `emptied`; a running process is killed first.
     pub(super) fn start_manager(&mut self, i: usize, emptied: bool) -> Result<(), RunError> {
         self.kill(i);
         self.process_states[i] = ProcessState::Starting;
@@ -100,7 +100,7 @@
         self.process_states[i] = ProcessState::Down;
     }
 
-    /// Records the exit of a process, once.
+    /// Records the exit of manager `i`'s process, unless it is recorded already.
     pub(super) fn record_exit(
         &mut self,
         i: usize,
@@ -193,7 +193,7 @@
         if is_running {
             self.fleet.signal(i, Signal::SIGSTOP)?;
         }
-        let copied = replace_folder(&self.fleet.folder(i), &self.folder_copy(i));
+        let copied = replace_folder(&self.fleet.folder(i), &self.folder_copy_path(i));
         if is_running {
             self.fleet.signal(i, Signal::SIGCONT)?;
         }
@@ -203,10 +203,10 @@
     /// Restores manager `i`'s folder from its copy.
     pub(super) fn restore_folder(&self, i: usize) -> Result<(), RunError> {
         self.must_be_down(i, "put_back")?;
-        replace_folder(&self.folder_copy(i), &self.fleet.folder(i))
+        replace_folder(&self.folder_copy_path(i), &self.fleet.folder(i))
     }
 
-    fn folder_copy(&self, i: usize) -> std::path::PathBuf {
+    fn folder_copy_path(&self, i: usize) -> std::path::PathBuf {
         self.program.dir.join(format!("n{i}.copy"))
     }
 }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -23,7 +23,7 @@
 pub(super) const COLD_FOR: f64 = 15.0;
 /// Factor by which a query takes longer on a slow engine.
 const SLOW_FACTOR: f64 = 10.0;
-/// Number of managers that all managers have as seeds of the membership.
+/// Number of managers, the first ones, that all managers use as seeds of the membership protocol.
 const SEEDS: usize = 3;
 
 /// Starts the history that the scenario asks for; the recorder records nothing if it asks for none.
@@ -262,7 +262,7 @@
         procs::config(&format!("n{i}"), seed, self.feeds[party], &known, &settings)
     }
 
-    /// A manager's further arguments of `serve`; writes the failover and membership files that they name.
+    /// A manager's additional arguments of `serve`; writes the failover and membership files that they name.
     pub(super) fn args(&self, i: usize) -> Result<Vec<String>, RunError> {
         let mut args = self.program.args.clone();
         if let Some(failover) = &self.scenario.failover {
--- a/crates/cluster-harness/src/run/steps.rs
+++ b/crates/cluster-harness/src/run/steps.rs
@@ -11,11 +11,12 @@
 use sprucelink_history_checker::event::Event;
 use std::time::{Duration, Instant};
 
-/// Bytes of an action's text that the history keeps.
+/// Length, in bytes, to which an action's text in the history is truncated.
 const MAX_ACTION_BYTES: usize = 400;
 
 impl Harness<'_> {
-    /// The starts and the steps, the last due first, with one entry for each manager that a step applies to.
+    /// The managers' starts and the actions of the steps, the last due first, with one entry for each manager
+    /// that an action applies to.
     pub(super) fn timeline(&self) -> Vec<(Duration, Action)> {
         let mut all = Vec::new();
         let starts = FleetRange { from: 0.0, to: 1.0, over_ms: self.scenario.start_over_ms };
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Sends SIGTERM to a manager that runs; its clients keep sending for a while.
+    /// Sends SIGTERM to a manager that runs; its clients keep sending to it for [`CLIENT_GRACE`].
     fn terminate(&mut self, manager: usize) -> Result<(), RunError> {
         if !matches!(self.process_states[manager], ProcessState::Up | ProcessState::Starting) {
             return Ok(());
--- a/crates/cluster-harness/src/run/supervision.rs
+++ b/crates/cluster-harness/src/run/supervision.rs
@@ -6,8 +6,8 @@
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
-/// Time after SIGTERM for which clients keep sending to a manager; the platform's clients do so for 0.2 to
-/// 0.4 s.
+/// Time after SIGTERM for which clients keep sending to a manager; the platform's clients keep sending for
+/// 0.2 to 0.4 s.
 pub(super) const CLIENT_GRACE: Duration = Duration::from_millis(300);
 /// Time after SIGTERM at which a manager that still runs is killed; longer than any deadline in the settings.
 const MAX_SHUTDOWN_TIME: Duration = Duration::from_secs(30);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sets in the fault proxy the address on which a ready manager listens for membership messages.
+    /// Passes the address on which a ready manager listens for membership messages to the fault proxy.
     pub(super) fn bind_membership(&mut self, i: usize) {
         if self.membership_addresses.is_empty() {
             return;
