--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -40,7 +40,7 @@
 broken.
 ";
 
-/// Why a command line was rejected, or that it asks for help.
+/// Why a command line was rejected, or [`CommandLineError::Help`] if it asks for help.
 #[derive(Debug, Error)]
 enum CommandLineError {
     #[error("help")]
@@ -96,22 +96,27 @@
 
 /// The parsed command line.
 struct Options {
-    files: Vec<PathBuf>,
+    /// One scenario for `run`, scenarios for `check`, a scenario and then histories for `judge`.
+    input_paths: Vec<PathBuf>,
     /// The cold start's settings file of each run; `None`: no cold start.
     cold_starts: Vec<Option<String>>,
     managers: Option<usize>,
     rate: Option<f64>,
     seed: Option<u64>,
     repeat: u64,
-    out: Option<PathBuf>,
+    chart_dir: Option<PathBuf>,
+    /// Whether the figures are printed as JSON rather than CSV.
     json: bool,
     program: PathBuf,
-    logs: Option<PathBuf>,
-    /// Whether the fleet pools its retry budgets, and whether it divides slow-start parts by live members.
-    share: Option<(bool, bool)>,
+    /// Folder for the managers' configurations and logs, which stay after the run; `None`: a temporary one.
+    kept_run_dir: Option<PathBuf>,
+    /// Whether the fleet pools its retry budgets, and whether it divides slow-start parts by live members;
+    /// `None`: as in the scenario.
+    budget_sharing: Option<(bool, bool)>,
     no_failover: bool,
+    /// Additional arguments of the managers' `serve`.
     args: Vec<String>,
-    history: Option<PathBuf>,
+    history_dir: Option<PathBuf>,
     command: Command,
 }
 
@@ -122,44 +127,45 @@
     Judge,
 }
 
-fn text(parser: &mut lexopt::Parser) -> Result<String, CommandLineError> {
+fn string_value(parser: &mut lexopt::Parser) -> Result<String, CommandLineError> {
     Ok(parser.value()?.string()?)
 }
 
 /// The option's value as a number from `min` to `max`; the error contains the option and its range.
-fn number<T: std::str::FromStr + PartialOrd + std::fmt::Display>(
+fn number_value<T: std::str::FromStr + PartialOrd + std::fmt::Display>(
     parser: &mut lexopt::Parser,
     option: &'static str,
     min: T,
     max: T,
 ) -> Result<T, CommandLineError> {
-    let value = text(parser)?.parse::<T>().ok().filter(|v| *v >= min && *v <= max);
+    let value = string_value(parser)?.parse::<T>().ok().filter(|v| *v >= min && *v <= max);
     value.ok_or_else(|| CommandLineError::OutOfRange { option, min: min.to_string(), max: max.to_string() })
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
-            files: Vec::new(),
+            input_paths: Vec::new(),
             cold_starts: vec![None],
             managers: None,
             rate: None,
             seed: None,
             repeat: 1,
-            out: None,
+            chart_dir: None,
             json: false,
             program: PathBuf::from("target/release/sprucelink"),
-            logs: None,
-            share: None,
+            kept_run_dir: None,
+            budget_sharing: None,
             no_failover: false,
             args: Vec::new(),
-            history: None,
+            history_dir: None,
             command: Command::Run,
         }
     }
 }
 
-/// Parses `--share`: whether the fleet shares retry budgets, and whether it shares slow-start parts.
+/// Parses the value of `--share`: whether the fleet pools its retry budgets, and whether it divides slow-start
+/// parts by live members.
 fn parse_share(word: &str) -> Result<(bool, bool), CommandLineError> {
     match word {
         "none" => Ok((false, false)),
@@ -176,31 +182,31 @@
     let mut command: Option<String> = None;
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("cold-start") => options.cold_starts = vec![Some(text(&mut parser)?)],
-            Long("pair") => options.cold_starts = vec![None, Some(text(&mut parser)?)],
-            Long("managers") => options.managers = Some(number(&mut parser, "managers", 1, 1_000)?),
-            Long("rate") => options.rate = Some(number(&mut parser, "rate", 0.0, 5_000.0)?),
-            Long("seed") => options.seed = Some(number(&mut parser, "seed", 0, u64::MAX)?),
-            Long("repeat") => options.repeat = number(&mut parser, "repeat", 1, 50)?,
-            Long("out") => options.out = Some(text(&mut parser)?.into()),
-            Long("format") => match text(&mut parser)?.as_str() {
+            Long("cold-start") => options.cold_starts = vec![Some(string_value(&mut parser)?)],
+            Long("pair") => options.cold_starts = vec![None, Some(string_value(&mut parser)?)],
+            Long("managers") => options.managers = Some(number_value(&mut parser, "managers", 1, 1_000)?),
+            Long("rate") => options.rate = Some(number_value(&mut parser, "rate", 0.0, 5_000.0)?),
+            Long("seed") => options.seed = Some(number_value(&mut parser, "seed", 0, u64::MAX)?),
+            Long("repeat") => options.repeat = number_value(&mut parser, "repeat", 1, 50)?,
+            Long("out") => options.chart_dir = Some(string_value(&mut parser)?.into()),
+            Long("format") => match string_value(&mut parser)?.as_str() {
                 "csv" => options.json = false,
                 "json" => options.json = true,
                 other => return Err(CommandLineError::UnknownFormat(other.to_owned())),
             },
-            Long("program") => options.program = text(&mut parser)?.into(),
-            Long("keep-logs") => options.logs = Some(text(&mut parser)?.into()),
-            Long("history") => options.history = Some(text(&mut parser)?.into()),
-            Long("arg") if options.args.len() < 32 => options.args.push(text(&mut parser)?),
-            Long("failover") => match text(&mut parser)?.as_str() {
+            Long("program") => options.program = string_value(&mut parser)?.into(),
+            Long("keep-logs") => options.kept_run_dir = Some(string_value(&mut parser)?.into()),
+            Long("history") => options.history_dir = Some(string_value(&mut parser)?.into()),
+            Long("arg") if options.args.len() < 32 => options.args.push(string_value(&mut parser)?),
+            Long("failover") => match string_value(&mut parser)?.as_str() {
                 "on" => options.no_failover = false,
                 "off" => options.no_failover = true,
                 other => return Err(CommandLineError::UnknownFailover(other.to_owned())),
             },
-            Long("share") => options.share = Some(parse_share(&text(&mut parser)?)?),
+            Long("share") => options.budget_sharing = Some(parse_share(&string_value(&mut parser)?)?),
             Long("help") | Short('h') => return Err(CommandLineError::Help),
             Value(v) if command.is_none() => command = Some(v.string()?),
-            Value(v) => options.files.push(v.into()),
+            Value(v) => options.input_paths.push(v.into()),
             other => return Err(other.unexpected().into()),
         }
     }
@@ -210,9 +216,11 @@
 /// Sets the command, after a check of its number of files.
 fn with_command(options: Options, command: Option<&str>) -> Result<Options, CommandLineError> {
     match command {
-        Some("run") if options.files.len() == 1 => Ok(options),
-        Some("check") if !options.files.is_empty() => Ok(Options { command: Command::Check, ..options }),
-        Some("judge") if options.files.len() > 1 => Ok(Options { command: Command::Judge, ..options }),
+        Some("run") if options.input_paths.len() == 1 => Ok(options),
+        Some("check") if !options.input_paths.is_empty() => {
+            Ok(Options { command: Command::Check, ..options })
+        }
+        Some("judge") if options.input_paths.len() > 1 => Ok(Options { command: Command::Judge, ..options }),
         Some("judge") => Err(CommandLineError::NoScenarioAndHistory),
         Some("run" | "check") => Err(CommandLineError::NoScenario),
         Some(other) => Err(CommandLineError::UnknownCommand(other.to_owned())),
@@ -220,7 +228,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<Scenario, ReadScenarioError> {
+fn read_scenario(path: &Path) -> Result<Scenario, ReadScenarioError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ReadScenarioError::Read { path: path.to_owned(), source })?;
     Scenario::parse(&text).map_err(|source| ReadScenarioError::Parse { path: path.to_owned(), source })
@@ -232,11 +240,15 @@
         Err(CommandLineError::Help) => return print!("{USAGE}"),
         Err(e) => exit_invalid(&format!("{e}\n\n{USAGE}")),
     };
-    let files = if options.command == Command::Judge { &options.files[..1] } else { &options.files[..] };
-    let scenarios: Vec<Scenario> =
-        files.iter().map(|f| read(f)).map(|s| s.unwrap_or_else(|e| exit_invalid(&e.to_string()))).collect();
+    let scenario_paths =
+        if options.command == Command::Judge { &options.input_paths[..1] } else { &options.input_paths[..] };
+    let scenarios: Vec<Scenario> = scenario_paths
+        .iter()
+        .map(|path| read_scenario(path))
+        .map(|s| s.unwrap_or_else(|e| exit_invalid(&e.to_string())))
+        .collect();
     if options.command == Command::Judge {
-        return judge(&scenarios[0], &options.files[1..]);
+        return judge(&scenarios[0], &options.input_paths[1..]);
     }
     if options.command == Command::Check {
         for s in &scenarios {
@@ -255,12 +267,12 @@
         scenario.failover = None;
         scenario.name.push_str("-off");
     }
-    if let Some((ration, parts)) = options.share {
-        let m = scenario.membership.get_or_insert_default();
-        m.share.pool_retry_budgets = ration;
-        m.share.divide_by_live_members = parts;
+    if let Some((pool_retry_budgets, divide_by_live_members)) = options.budget_sharing {
+        let membership = scenario.membership.get_or_insert_default();
+        membership.share.pool_retry_budgets = pool_retry_budgets;
+        membership.share.divide_by_live_members = divide_by_live_members;
     }
-    if options.history.is_some() {
+    if options.history_dir.is_some() {
         scenario.history.get_or_insert_default();
     }
     scenario.check().unwrap_or_else(|e| exit_invalid(&e.to_string()));
@@ -274,7 +286,7 @@
     }
 }
 
-/// Prints the violations of a history on standard error; returns whether there are none.
+/// Prints the violations of a history on standard error; returns whether the history has none.
 fn print_verdict(verdict: &CheckReport) -> bool {
     for (name, findings) in &verdict.invariants {
         for violation in &findings.violations {
@@ -290,13 +302,14 @@
     verdict.is_passed()
 }
 
-fn judge(scenario: &Scenario, files: &[PathBuf]) {
+/// Checks recorded histories with the scenario's `check` section; exits with status 3 if one violates it.
+fn judge(scenario: &Scenario, histories: &[PathBuf]) {
     let Some(config) = &scenario.check else { exit_invalid("the scenario has no `check`") };
     let mut passed = true;
-    for file in files {
-        let lines = history::read(file).unwrap_or_else(|e| exit_invalid(&e.to_string()));
-        println!("{}: {} lines", file.display(), lines.len());
-        passed &= print_verdict(&sprucelink_history_checker::check(&lines, config));
+    for file in histories {
+        let entries = history::read(file).unwrap_or_else(|e| exit_invalid(&e.to_string()));
+        println!("{}: {} lines", file.display(), entries.len());
+        passed &= print_verdict(&sprucelink_history_checker::check(&entries, config));
     }
     if !passed {
         std::process::exit(3);
@@ -320,15 +333,15 @@
         for cold_start in &options.cold_starts {
             let mut args = options.args.clone();
             args.extend(cold_start.iter().flat_map(|f| ["--cold-start".to_owned(), f.clone()]));
-            let dir = options.logs.clone().unwrap_or_else(|| run::scratch(&scenario.name));
+            let dir = options.kept_run_dir.clone().unwrap_or_else(|| run::scratch(&scenario.name));
             let program = Program { path: options.program.clone(), args, dir: dir.clone() };
             let result = run::run(&scenario, &program);
-            let how = if cold_start.is_some() { "on" } else { "off" };
-            if let (Some(out), Ok(outcome)) = (&options.history, &result) {
-                let file = out.join(format!("{}-{}-{how}.jsonl", scenario.name, scenario.seed));
+            let cold_start_label = if cold_start.is_some() { "on" } else { "off" };
+            if let (Some(dir), Ok(outcome)) = (&options.history_dir, &result) {
+                let file = dir.join(format!("{}-{}-{cold_start_label}.jsonl", scenario.name, scenario.seed));
                 copy_history(outcome, &file)?;
             }
-            if options.logs.is_none() {
+            if options.kept_run_dir.is_none() {
                 run::clear(&dir);
             }
             let outcome = result?;
@@ -337,10 +350,10 @@
                 true => println!("{}", outcome.report.json()),
                 false => println!("{},{}", outcome.report.line(), scenario.seed),
             }
-            if let Some(out) = &options.out {
-                std::fs::create_dir_all(out).map_err(HarnessError::io(out))?;
-                let file = out.join(format!("{}-{}-{how}.svg", scenario.name, scenario.managers));
-                draw(&file, &scenario, how, &outcome)?;
+            if let Some(dir) = &options.chart_dir {
+                std::fs::create_dir_all(dir).map_err(HarnessError::io(dir))?;
+                let name = format!("{}-{}-{cold_start_label}.svg", scenario.name, scenario.managers);
+                draw_chart(&dir.join(name), &scenario, cold_start_label, &outcome)?;
             }
         }
     }
@@ -354,8 +367,8 @@
     std::fs::copy(from, file).map(|_| ()).map_err(HarnessError::io(file))
 }
 
-/// The chart's lines of polled managers, managers with a right view and distinct views; each bucket shows the
-/// last poll up to its end.
+/// The chart's lines of polled managers, managers with a right view and distinct views; the value of a bucket
+/// is that of the last round of polling before the bucket's end.
 fn view_series(outcome: &Outcome) -> Vec<Series<'static>> {
     let buckets = outcome.calls.len();
     let last_poll = |i: usize| {
@@ -373,17 +386,22 @@
     ]
 }
 
-fn draw(file: &Path, scenario: &Scenario, how: &str, outcome: &Outcome) -> Result<(), HarnessError> {
+fn draw_chart(
+    file: &Path,
+    scenario: &Scenario,
+    cold_start_label: &str,
+    outcome: &Outcome,
+) -> Result<(), HarnessError> {
     let line = |name, values: &[u32]| Series { name, values: values.iter().map(|v| f64::from(*v)).collect() };
     let requests = &outcome.requests;
     let request_lines = vec![
         line("asked", &requests.issued),
         line("served", &requests.served),
         line("refused", &requests.refused),
-        line("failed, lost", &requests.bad),
+        line("failed, lost", &requests.failed_or_lost),
     ];
     let connection_lines = vec![line("list calls", &outcome.calls), line("dials", &outcome.dials)];
-    let title = format!("{}: {} managers, cold start {how}", scenario.name, scenario.managers);
+    let title = format!("{}: {} managers, cold start {cold_start_label}", scenario.name, scenario.managers);
     let mut panels =
         vec![("requests in 250 ms", request_lines), ("calls and dials in 250 ms", connection_lines)];
     if !outcome.views.is_empty() {
