--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -24,7 +24,8 @@
     folder: PathBuf,
     version: String,
     clock_offset_ms: i64,
-    /// Milliseconds after which a process requests its next version, by process; only in version `v1`.
+    /// Milliseconds after its start at which a process exits to be restarted as the version `next`, by name of
+    /// the process; only processes of version `v1` do so.
     #[serde(default)]
     out_ms: BTreeMap<String, u64>,
     /// The version that processes request; empty: they exit without naming one.
@@ -33,7 +34,7 @@
     /// Number of the record that is a halt of the next version; 0: none.
     #[serde(default)]
     halt_at: usize,
-    /// The violation: `skip`, `repeat`, `strip`, `reword`, `early` or `lose`; empty: none.
+    /// The injected violation: `skip`, `repeat`, `strip`, `reword`, `early` or `lose`; empty: none.
     #[serde(default, rename = "plant")]
     violation: String,
     /// The process that commits the violation; empty: all of them.
@@ -43,9 +44,9 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args: Vec<String> = std::env::args().collect();
-    let at = args.iter().position(|a| a == "--plan").ok_or("--plan is missing")?;
+    let option = args.iter().position(|a| a == "--plan").ok_or("--plan is missing")?;
     let mut plan: Plan =
-        json5::from_str(&std::fs::read_to_string(args.get(at + 1).ok_or("--plan: expected a file")?)?)?;
+        json5::from_str(&std::fs::read_to_string(args.get(option + 1).ok_or("--plan: expected a file")?)?)?;
     if !plan.violating_process.is_empty() && plan.violating_process != plan.name {
         plan.violation.clear();
     }
@@ -96,7 +97,7 @@
 fn exit_for_next_version(plan: &Plan, ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
     sprucelink_failpoints::hit("standin.permit");
-    println!("beyond the point");
+    println!("passed the failpoint standin.permit");
     if !plan.next.is_empty() {
         let _ = std::fs::write(plan.folder.join("next-version"), &plan.next);
     }
@@ -107,7 +108,7 @@
     std::fs::read_to_string(journal).map_or(0, |t| t.lines().count())
 }
 
-/// Appends a record and returns its number, which is that of its line.
+/// Appends a record and returns its number, which is the number of its line.
 fn append(journal: &Path, name: &str, mut value: Value) -> usize {
     let n = count_lines(journal) + 1;
     value["n"] = json!(n);
@@ -200,7 +201,7 @@
     }
 }
 
-/// The events of a record; in every tenth record they contain the plan's violation.
+/// The events sent for a record; every tenth record is sent with the plan's violation.
 fn events_of_record(plan: &Plan, name: &str, data: &str, n: usize, sent: usize) -> Vec<String> {
     let mut value: Value = serde_json::from_str(data).unwrap_or_default();
     value["prev"] = json!(format!("1:{sent}"));
--- a/crates/cluster-harness/tests/injected_violations.rs
+++ b/crates/cluster-harness/tests/injected_violations.rs
@@ -1,5 +1,5 @@
-//! Tests of the harness with a stand-in for managers: faults have their described effect, a run without
-//! violations passes the checker, and a run with an injected violation fails it.
+//! Tests of the harness with a stand-in for managers: faults have the effect that the scenario describes, a
+//! run without violations passes the checker, and a run with an injected violation fails it.
 
 use sprucelink_cluster_harness::history;
 use sprucelink_cluster_harness::run::{self, Outcome, Program};
@@ -22,29 +22,29 @@
     Program { path, args: Vec::new(), dir: dir.to_owned() }
 }
 
-/// Runs a scenario of three managers, subscribers of two versions and a budget of one. `plan` contains
-/// further fields of the stand-ins' plan, `more` further fields of the scenario.
-fn play(name: &str, plan: &str, more: &str) -> (Outcome, Vec<HistoryEntry>) {
+/// Runs a scenario of three managers, of which one may be out of service at a time, and subscribers of two
+/// versions. `plan_fields` are added to the stand-ins' plan, `scenario_fields` to the scenario.
+fn play(name: &str, plan_fields: &str, scenario_fields: &str) -> (Outcome, Vec<HistoryEntry>) {
     let text = format!(
         "{{ name: '{name}', managers: 3, pairs: true, seconds: 8, load: {{ rate: 0 }}, engines: {{ count: 1 }},
             ports: [ {{ name: 'fanout', said: 'fanout on ' }} ], args: ['--plan', '{{folder}}/plan.json5'],
             files: {{ 'plan.json5': {{ name: '{{name}}', folder: '{{folder}}', version: '{{version}}',
-                      clock_offset_ms: '{{clock_offset_ms}}', {plan} }} }},
+                      clock_offset_ms: '{{clock_offset_ms}}', {plan_fields} }} }},
             supervise: {{ back_ms: 500 }},
             subscribers: {{ count: 12, at: 0.6, retry_ms: 100, versions: ['1', '2'], filters: ['', '', 'kind=permit'],
                             needs: {{ '1': {{ permit: ['/n'] }} }},
                             marks: {{ halt: {{ record: 'halt', id: '/id', version: '/to' }} }} }},
             check: {{ budgets: [ {{ of: 'managers', most: 1 }} ], notice_ms: 100, halt_ms: 400, settle_ms: 700 }},
-            {more} }}"
+            {scenario_fields} }}"
     );
     let scenario = Scenario::parse(&text).expect("a scenario");
     let dir = run::scratch(name);
     let outcome = run::run(&scenario, &program(&dir)).expect("completed");
-    let lines = history::read(outcome.history.as_ref().expect("a history")).expect("read");
+    let entries = history::read(outcome.history.as_ref().expect("a history")).expect("read");
     run::clear(&dir);
     let verdict = outcome.verdict.as_ref().expect("checked");
     verdict.violations().take(3).for_each(|v| eprintln!("{name}: {v:?}"));
-    (outcome, lines)
+    (outcome, entries)
 }
 
 /// Number of facts that the checker examined for an invariant.
@@ -53,8 +53,8 @@
 }
 
 /// Asserts that a run violates these invariants and no others.
-fn assert_violates(name: &str, plan: &str, more: &str, rules: &[&str]) {
-    let (outcome, _) = play(name, plan, more);
+fn assert_violates(name: &str, plan_fields: &str, scenario_fields: &str, rules: &[&str]) {
+    let (outcome, _) = play(name, plan_fields, scenario_fields);
     let verdict = outcome.verdict.expect("checked");
     for rule in rules {
         assert!(verdict.is_violated(rule), "{name}: {rule} is not violated");
@@ -65,11 +65,11 @@
     );
 }
 
-/// A run with kills, stops, partitions, reconnect storms, hops and an orderly release: no invariant is
-/// violated, and each of them has examined at least one fact.
+/// In a run with kills, stops, partitions, reconnect storms, hops and an orderly release, no invariant is
+/// violated, and each invariant that the test names has examined at least one fact.
 #[test]
 fn a_run_with_faults_and_without_violations_passes() {
-    let (outcome, lines) = play(
+    let (outcome, entries) = play(
         "rig-good",
         "next: 'v2', out_ms: { n0: 900, n1: 3800, n2: 5600 }",
         "strikes: [ { point: 'standin.permit', who: { names: ['n0'] }, do: 'kill', back_ms: 300 },
@@ -90,7 +90,7 @@
     }
     assert!(examined(&outcome, order::NAME) > 100, "{} records", examined(&outcome, order::NAME));
     // n0 is killed while it waits at the failpoint; n1 is restarted as the version that it requested.
-    let position = |matches: &dyn Fn(&Event) -> bool| lines.iter().position(|l| matches(&l.event));
+    let position = |matches: &dyn Fn(&Event) -> bool| entries.iter().position(|e| matches(&e.event));
     let failpoint = position(&|e| matches!(e, Event::FailpointHit { process, .. } if process == "n0"))
         .expect("a failpoint hit");
     let killed = position(
@@ -110,8 +110,8 @@
         .is_some());
 }
 
-/// Wrong records sent to subscribers, by one manager or by all: left out, repeated, incomplete, changed,
-/// uncommitted.
+/// One manager or all of them leave out, repeat, truncate or change records, or send uncommitted ones: the
+/// checker reports the violated invariants of subscribers.
 #[test]
 fn runs_with_wrong_records_violate_the_invariants_of_subscribers() {
     let divergence = [agreement::NAME, uncommitted::NAME];
@@ -125,8 +125,8 @@
     });
 }
 
-/// Wrong behaviour of managers: two out at once, one out for a halted release, an acknowledged operation
-/// lost.
+/// Two managers are out of service at once, one is out for a halted release, or an acknowledged operation is
+/// lost: the checker reports the violated invariants of managers.
 #[test]
 fn runs_with_excess_outages_or_lost_operations_violate_the_invariants_of_managers() {
     std::thread::scope(|s| {
@@ -148,10 +148,11 @@
     });
 }
 
-/// Each start of the stand-in logs the size of its store and its clock offset.
+/// Copies of folders, torn files, disk faults and clock offsets change what the stand-in logs at its start:
+/// the size of its store and its clock offset.
 #[test]
 fn copies_disk_faults_and_clock_offsets_take_effect() {
-    let (outcome, lines) = play(
+    let (outcome, entries) = play(
         "rig-disk",
         "",
         "clocks: { n0: -1500, a: 20 },
@@ -173,7 +174,7 @@
     assert_logged(2, "store held 21 bytes");
     assert_logged(0, "clock off by -1500 ms");
     assert_logged(1, "clock off by 20 ms");
-    let starts = lines.iter().filter(|l| matches!(l.event, Event::Started { emptied: false, .. })).count();
+    let starts = entries.iter().filter(|e| matches!(e.event, Event::Started { emptied: false, .. })).count();
     assert_eq!(starts, 9);
 }
 
@@ -181,13 +182,14 @@
 /// `restart_empty` empties the folder.
 #[test]
 fn a_process_that_names_no_version_has_crashed_and_restart_empty_empties_the_folder() {
-    let (outcome, lines) = play(
+    let (outcome, entries) = play(
         "rig-nameless",
         "out_ms: { n1: 900 }",
         "steps: [ { at: 2, do: { restart_empty: { names: ['n2'] } } } ]",
     );
     assert_eq!(outcome.report.crashed, 1);
     assert!(outcome.logs[2].contains("store held 0 bytes"), "{}", outcome.logs[2]);
-    let of_n1 = |l: &&HistoryEntry| matches!(&l.event, Event::Started { process, .. } if process == "n1");
-    assert_eq!(lines.iter().filter(of_n1).count(), 1, "n1 stays down");
+    let is_start_of_n1 =
+        |e: &&HistoryEntry| matches!(&e.event, Event::Started { process, .. } if process == "n1");
+    assert_eq!(entries.iter().filter(is_start_of_n1).count(), 1, "n1 stays down");
 }
