--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -12,7 +12,7 @@
 /// Time after the request's timeout at which the client gives up waiting; the request then counts as lost.
 const TIMEOUT_GRACE: Duration = Duration::from_millis(500);
 
-/// Outcome of a request.
+/// Outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The manager sent a complete result.
@@ -21,7 +21,7 @@
     Refused,
     /// The manager answered with any other error.
     Failed,
-    /// The request could not be sent: no connection was established, or it ended at once.
+    /// The request could not be sent: no connection was established, or writing to it failed.
     NotTaken,
     /// No complete answer before the connection ended or the timeout and a grace of 500 ms were over.
     Lost,
@@ -32,13 +32,14 @@
 pub struct ClientRequest {
     /// Id of the request; contains the index of the manager, see [`crate::ledger::request_id`].
     pub id: u64,
-    /// Whether the request is a load with two threads, rather than a light query.
+    /// Whether the request is a load (class `tariff-load`, two threads) rather than a light query (class
+    /// `lane-rate`, one thread).
     pub heavy: bool,
-    /// Idempotency key of a load; light queries have none.
+    /// Idempotency key of a load; not sent with light queries.
     pub key: u64,
     /// The client's estimate of the work on one core, in milliseconds; 0: the request carries none.
     pub estimated_work_ms: f64,
-    /// The timeout that the request carries.
+    /// Timeout that is sent with the request; the client waits a grace of 500 ms longer.
     pub timeout: Duration,
 }
 
--- a/crates/cluster-harness/src/counter.rs
+++ b/crates/cluster-harness/src/counter.rs
@@ -1,4 +1,5 @@
-//! Counts events with their times. The stand-ins record them, the figures of a run are computed from them.
+//! Counts events with their times. The stand-ins record the events; the figures of a run are computed from
+//! the counts.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/cluster-harness/src/counter/tests.rs
+++ b/crates/cluster-harness/src/counter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `counter`.
+//! Tests of peaks, buckets and windows of counted events.
 
 use super::*;
 
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Fraction of the cores that is available.
+    /// Fraction of the cores that is available: rises from `start_share` to 1 in a slow start.
     pub fn warmth(&self, now: Instant) -> f64 {
         if self.spec.cold_for <= 0.0 {
             return 1.0;
@@ -79,7 +79,7 @@
         self.spec.start_share + (1.0 - self.spec.start_share) * progress.min(1.0)
     }
 
-    /// Whether the engine is down after it fell over.
+    /// Whether the engine fell over and closes all connections for now.
     pub fn is_down(&self, now: Instant) -> bool {
         self.down_until.is_some_and(|t| now < t)
     }
--- a/crates/cluster-harness/src/engines/machine/tests.rs
+++ b/crates/cluster-harness/src/engines/machine/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `machine`.
+//! Tests of an engine's overload and of the cores that its queries share.
 
 use super::*;
 
--- a/crates/cluster-harness/src/engines/mod.rs
+++ b/crates/cluster-harness/src/engines/mod.rs
@@ -41,7 +41,7 @@
     history: Recorder,
     connections: AtomicUsize,
     next_connection: AtomicU64,
-    /// Incremented when all connections end: the engine falls over, restarts or stops.
+    /// Incremented to end all connections, when the engine falls over, restarts or stops.
     disconnects: watch::Sender<u64>,
 }
 
@@ -60,13 +60,13 @@
     format!("s-{index:04}")
 }
 
-/// An engine, running on a port of its own until it is stopped or the process ends.
+/// A running engine, which listens on a port of its own until it is stopped or the process ends.
 pub struct CountingEngine {
     /// Address on which the engine listens.
     pub address: SocketAddr,
     /// Connections to the engine, including refused ones.
     pub dials: Counter,
-    /// `do` commands that the engine received.
+    /// Commands `do` that the engine received: one for each attempt.
     pub work: Counter,
     shared: Arc<Shared>,
     listening: tokio::task::JoinHandle<()>,
@@ -77,7 +77,7 @@
     /// counted from `start`.
     ///
     /// # Errors
-    /// Those of binding a loopback port.
+    /// If a loopback port can't be bound.
     pub fn start(start: Instant) -> std::io::Result<CountingEngine> {
         CountingEngine::start_as(Spec::default(), 0, Ledger::default(), Recorder::default(), start)
     }
@@ -86,7 +86,7 @@
     /// connections and commands in `history`.
     ///
     /// # Errors
-    /// Those of binding a loopback port.
+    /// If a loopback port can't be bound.
     pub fn start_as(
         spec: Spec,
         index: usize,
@@ -216,8 +216,8 @@
     String::from_utf8_lossy(&bytes[..bytes.len().min(16)]).into_owned()
 }
 
-/// Ends the query of a request id on a connection, if it is in flight: it is answered, cancelled or
-/// disconnected.
+/// Ends a connection's query with this request id, if it is in flight. Called when the query is answered or
+/// cancelled, and when the connection ends.
 fn end_query(engine: &Shared, connection: u64, id: u64, in_flight: &Mutex<BTreeMap<u64, f64>>) {
     let threads = in_flight.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
     if let Some(threads) = threads {
--- a/crates/cluster-harness/src/fault_proxy/mod.rs
+++ b/crates/cluster-harness/src/fault_proxy/mod.rs
@@ -31,7 +31,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Bytes forwarded at a time in each direction; also the longest datagram.
+/// Longest chunk of TCP data that is forwarded at a time, and longest datagram, in bytes.
 const CHUNK: usize = 16 * 1024;
 /// Chunks per second into which a rate-limited route divides its data, so that it isn't sent in bursts.
 const RATE_LIMITED_CHUNKS_PER_SECOND: f64 = 20.0;
@@ -76,10 +76,10 @@
 }
 
 impl Rule {
-    /// Checks that all figures lie within their ranges.
+    /// Checks that all numbers lie within their ranges.
     ///
     /// # Errors
-    /// The first field out of range, and its range.
+    /// The first field that is out of range, and the allowed range.
     pub fn check(&self) -> Result<(), InvalidField> {
         check_range("delay_ms", self.delay_ms, 0.0, 60_000.0)?;
         check_range("jitter_ms", self.jitter_ms, 0.0, 60_000.0)?;
@@ -106,9 +106,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectionCut {
-    /// Both directions are closed.
+    /// Both directions of the connection are closed.
     Close,
-    /// This direction is closed, the other stays open.
+    /// The direction of the cut is closed; the opposite direction stays open.
     HalfClose,
     /// The connection is reset (RST): data in flight is lost.
     Reset,
@@ -153,7 +153,7 @@
 }
 
 impl Faults {
-    /// No rules yet; `seed` determines the random drops, delays and corruptions.
+    /// Creates a table without rules; `seed` determines the random drops, delays and corruptions.
     pub fn new(seed: u64) -> Faults {
         Faults {
             table: Arc::default(),
@@ -166,13 +166,15 @@
         f(&mut self.table.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Sets the rule from one party or group to another, for open and new connections.
+    /// Sets the rule for the route `from` one party or group `to` another. It applies to open and new
+    /// connections.
     pub fn set_rule(&self, from: &str, to: &str, rule: Rule) {
         self.table(|t| _ = t.rules.insert((from.to_owned(), to.to_owned()), rule));
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Removes the rule from one party or group to another; less specific rules apply again.
+    /// Removes the rule for the route `from` one party or group `to` another, so that less specific rules
+    /// apply again.
     pub fn remove_rule(&self, from: &str, to: &str) {
         self.table(|t| _ = t.rules.remove(&(from.to_owned(), to.to_owned())));
         self.changed.send_modify(|n| *n += 1);
@@ -191,10 +193,10 @@
     }
 
     /// Cuts every open TCP connection from one party or group to another.
-    pub fn cut(&self, from: &str, to: &str, how: ConnectionCut) {
+    pub fn cut(&self, from: &str, to: &str, cut: ConnectionCut) {
         self.table(|t| {
             t.last_cut += 1;
-            t.cuts.insert((from.to_owned(), to.to_owned()), (t.last_cut, how));
+            t.cuts.insert((from.to_owned(), to.to_owned()), (t.last_cut, cut));
         });
         self.changed.send_modify(|n| *n += 1);
     }
@@ -226,7 +228,7 @@
             }
             let routes = t.applicable_routes(from, to).into_iter();
             let last = routes.filter_map(|route| t.cuts.get(&route)).max_by_key(|cut| cut.0);
-            last.map_or((0, None), |(number, how)| (*number, Some(*how)))
+            last.map_or((0, None), |(number, cut)| (*number, Some(*cut)))
         })
     }
 
--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -32,15 +32,16 @@
 /// Opens a path from `from` to `target`, a member of the party or group `to`.
 ///
 /// # Errors
-/// Those of binding a loopback port.
+/// If a loopback port can't be bound.
 pub fn tcp(faults: &Faults, from: &str, to: &str, target: SocketAddr) -> std::io::Result<TcpPath> {
     tcp_to(faults, from, to, Arc::new(Mutex::new(Some(target))))
 }
 
-/// As [`tcp`], with a target that is read at each new connection, which is closed if there is no target.
+/// Opens a path as [`tcp`] does, but reads the target at each new connection. The connection is closed if
+/// there is no target.
 ///
 /// # Errors
-/// Those of binding a loopback port.
+/// If a loopback port can't be bound.
 pub fn tcp_to(faults: &Faults, from: &str, to: &str, target: Target) -> std::io::Result<TcpPath> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     listener.set_nonblocking(true)?;
@@ -99,7 +100,7 @@
     let mut to_server_ended = false;
     let mut to_client_ended = false;
     while !(to_server_ended && to_client_ended) {
-        // A direction that ended in order leaves the other open; one that was cut or failed ends both.
+        // If one direction ends in order, the other stays open; a cut or a failure of one ends both.
         let end = tokio::select! {
             end = &mut to_server, if !to_server_ended => { to_server_ended = true; end }
             end = &mut to_client, if !to_client_ended => { to_client_ended = true; end }
@@ -174,7 +175,7 @@
     W: AsyncWriteExt + Unpin,
 {
     let mut changed = faults.changed.subscribe();
-    // Cuts apply to open connections only: earlier ones are ignored.
+    // A cut applies only to connections that are open when it is made, so earlier cuts are ignored.
     let earlier_cut = faults.last_cut(from, to).0;
     let cut = || faults.cut_since(from, to, earlier_cut);
     let mut bytes = vec![0u8; CHUNK];
--- a/crates/cluster-harness/src/fault_proxy/tests.rs
+++ b/crates/cluster-harness/src/fault_proxy/tests.rs
@@ -7,7 +7,7 @@
 /// Read timeout for data that must arrive; long enough for a busy machine.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time for which a test waits for data that must not arrive.
-const SILENCE: Duration = Duration::from_millis(150);
+const SILENCE_TIME: Duration = Duration::from_millis(150);
 
 /// A connection through the fault proxy from `a` to `s`: the path, the client's socket and the server's
 /// socket.
@@ -30,7 +30,7 @@
 }
 
 fn assert_silent(to: &mut Stream) {
-    to.set_read_timeout(Some(SILENCE)).expect("set");
+    to.set_read_timeout(Some(SILENCE_TIME)).expect("set");
     let got = to.read(&mut [0; 8]).expect_err("nothing comes");
     assert!(matches!(got.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut), "{got}");
     to.set_read_timeout(Some(READ_TIMEOUT)).expect("set");
@@ -105,7 +105,7 @@
     // A partition in one direction does not affect the other.
     faults.set_rule("a", "b", Rule { partition: true, ..Rule::default() });
     a.send_to(b"gone", address_b).expect("sent");
-    b.set_read_timeout(Some(SILENCE)).expect("set");
+    b.set_read_timeout(Some(SILENCE_TIME)).expect("set");
     assert!(b.recv_from(&mut got).is_err());
     b.send_to(b"here", address_a).expect("sent");
     assert_eq!(a.recv_from(&mut got).expect("received").0, 4);
--- a/crates/cluster-harness/src/fault_proxy/udp.rs
+++ b/crates/cluster-harness/src/fault_proxy/udp.rs
@@ -37,7 +37,7 @@
 }
 
 impl UdpNet {
-    /// A net without members.
+    /// Creates a net without members, whose traffic follows the rules in `faults`.
     pub fn new(faults: &Faults) -> UdpNet {
         UdpNet { faults: faults.clone(), reserved: Arc::default(), members: Arc::default() }
     }
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -52,7 +52,7 @@
     Ended,
 }
 
-/// The file's name in a run's folder.
+/// Name of the history's file in a run's folder.
 pub const NAME: &str = "history.jsonl";
 /// Size of the write buffer, in bytes.
 const BUFFER_BYTES: usize = 1 << 20;
@@ -81,7 +81,7 @@
     /// `engines` it contains the connections and commands at engines, too.
     ///
     /// # Errors
-    /// Those of creating the file.
+    /// If the file can't be created.
     pub fn start(dir: &Path, start: Instant, max_bytes: u64, engines: bool) -> std::io::Result<Recorder> {
         let file = BufWriter::with_capacity(BUFFER_BYTES, File::create(dir.join(NAME))?);
         let inner = RecorderState { file, start, remaining_bytes: max_bytes, stopped: None };
@@ -116,7 +116,7 @@
         state.stopped = written.err();
     }
 
-    /// Records an event at an engine, if the history contains those.
+    /// Records an event at an engine, if the history contains events at engines.
     pub fn record_engine(&self, event: impl FnOnce() -> Event) {
         if self.engines && self.is_enabled() {
             self.record(event());
--- a/crates/cluster-harness/src/history/tests.rs
+++ b/crates/cluster-harness/src/history/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `history`.
+//! Tests of writing a history, of its maximum size and of a disabled recorder.
 
 use super::*;
 
@@ -15,9 +15,9 @@
     recorder.record_engine(|| Event::Disconnected { engine: "s".into(), connection: 1 });
     recorder.end().expect("complete");
     recorder.record(ready(99));
-    let lines = read(&dir.join(NAME)).expect("read");
-    assert_eq!(lines.len(), 50);
-    assert_eq!(lines[49].event, ready(49));
+    let entries = read(&dir.join(NAME)).expect("read");
+    assert_eq!(entries.len(), 50);
+    assert_eq!(entries[49].event, ready(49));
     let recorder = Recorder::start(&dir, Instant::now(), 100, false).expect("a file");
     (0..5).for_each(|i| recorder.record(ready(i)));
     assert!(recorder.end().unwrap_err().to_string().contains("full"));
--- a/crates/cluster-harness/src/http.rs
+++ b/crates/cluster-harness/src/http.rs
@@ -25,7 +25,7 @@
     /// The method or path of the request is invalid.
     #[error("{0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The body broke off or is too long.
+    /// The connection ended within the body, or the body is too long.
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
     /// The head of the answer did not arrive in time.
@@ -47,7 +47,7 @@
 /// The connection is closed after the body.
 ///
 /// # Errors
-/// The step that failed or timed out.
+/// If the connection or the request fails, or the head of the answer does not arrive in time.
 pub async fn send(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -21,7 +21,7 @@
 const MAX_HEAD_TIME: Duration = Duration::from_secs(5);
 /// Maximum number of events that the service keeps; a further one is an error.
 const MAX_EVENTS: usize = 10_000;
-/// Longest duration of a watch request; the manager then sends another one.
+/// Time after which the service ends a call; the manager then makes another one.
 const MAX_CALL_TIME: Duration = Duration::from_secs(60);
 /// Longest time for which a request is left without an answer in [`DiscoveryMode::Stalling`].
 const MAX_STALL_TIME: Duration = Duration::from_secs(30);
@@ -42,7 +42,7 @@
     Stalling = 2,
 }
 
-/// The state that calls watch: the mode, and the number of events.
+/// The state that calls watch: the mode, and the number of events published so far.
 type State = (DiscoveryMode, usize);
 
 /// State that all calls of a service share.
@@ -70,15 +70,16 @@
     /// of calls are counted from `start`.
     ///
     /// # Errors
-    /// Those of binding a loopback port.
+    /// If a loopback port can't be bound.
     pub fn start(first: String, start: Instant) -> std::io::Result<ListService> {
         ListService::start_as(first, start, "", Recorder::default())
     }
 
-    /// As [`ListService::start`], for the party of this name; each call is recorded in `history`.
+    /// Starts a service as [`ListService::start`] does, for the party of this name; each call is recorded in
+    /// `history`.
     ///
     /// # Errors
-    /// Those of binding a loopback port.
+    /// If a loopback port can't be bound.
     pub fn start_as(
         first: String,
         start: Instant,
@@ -135,7 +136,8 @@
         Ok(number)
     }
 
-    /// The number of events so far and the events, for `known` of a manager's configuration.
+    /// The number of events so far and their JSON, separated by commas, for the field `known` of a manager's
+    /// configuration.
     pub fn known(&self) -> (u64, String) {
         let events = self.events.lock().unwrap_or_else(PoisonError::into_inner);
         (events.len() as u64, events.join(","))
--- a/crates/cluster-harness/src/procs.rs
+++ b/crates/cluster-harness/src/procs.rs
@@ -14,7 +14,7 @@
 /// Maximum number of managers of a run: each is a process with its descriptors and a log.
 pub const MAX_MANAGERS: usize = 1_000;
 
-/// Maximum number of bytes that are read of a log.
+/// Maximum number of bytes that [`Fleet::log`] reads from the beginning of a log.
 const MAX_LOG_BYTES: u64 = 4 << 20;
 /// Maximum number of bytes that [`Tail::new_lines`] reads of a log at a time.
 pub const MAX_NEW_BYTES: u64 = 1 << 20;
@@ -48,7 +48,7 @@
     pub zone: String,
     /// `ready`, `draining` or `gone`.
     pub phase: &'static str,
-    /// Unix milliseconds of a cold start, or 0.
+    /// Unix time of the engine's last cold start, in milliseconds; 0: the engine started warm.
     pub since_ms: u128,
 }
 
@@ -68,7 +68,7 @@
     format!(r#"{{"n":{n},"members":{{"revision":{revision},"complete":{complete},"members":[{rows}]}}}}"#)
 }
 
-/// The complete endpoint list event of number 1 with these engines, all ready, in hall-a.
+/// Event 1 of the endpoint list: a complete list of these engines, all ready and in the zone hall-a.
 pub fn list(engines: &[(String, SocketAddr)]) -> String {
     let row = |(id, address): &(String, SocketAddr)| Row {
         id: id.clone(),
@@ -103,7 +103,7 @@
 pub struct Manager {
     /// Name of the manager, the same after a restart.
     pub name: String,
-    /// Further arguments of `serve`, from the next start on.
+    /// Additional arguments of `serve`, used from the next start on.
     pub args: Vec<String>,
     child: Option<Child>,
     log: PathBuf,
@@ -127,7 +127,7 @@
         Ok(Fleet { program: program.to_owned(), dir: dir.to_owned(), managers: Vec::new() })
     }
 
-    /// Starts a manager with a configuration and further arguments of `serve`, and returns its index.
+    /// Starts a manager with a configuration and additional arguments of `serve`, and returns its index.
     pub fn start(&mut self, name: &str, config: &str, args: &[String]) -> std::io::Result<usize> {
         if self.managers.len() >= MAX_MANAGERS {
             return Err(std::io::Error::other(format!("at most {MAX_MANAGERS} managers")));
@@ -160,7 +160,7 @@
     /// Kills manager `i`, if it runs, and starts it again under its name with a configuration.
     ///
     /// # Errors
-    /// Those of writing its files and of starting it.
+    /// If the manager's files can't be written or its process can't be started.
     pub fn restart(&mut self, i: usize, config: &str) -> std::io::Result<()> {
         let Some(manager) = self.managers.get_mut(i) else { return Ok(()) };
         kill_and_wait(manager);
@@ -187,8 +187,8 @@
         Some(ticks / ticks_per_second as f64)
     }
 
-    /// Whether manager `i` has a process that this fleet has not killed; one that exited by itself counts,
-    /// too.
+    /// Whether manager `i` has a process that this fleet has not killed; a process that exited by itself
+    /// counts, too.
     pub fn runs(&self, i: usize) -> bool {
         self.managers.get(i).is_some_and(|m| m.child.is_some())
     }
@@ -249,31 +249,32 @@
 pub struct Tail {
     file: File,
     /// Bytes after the last complete line.
-    part: Vec<u8>,
+    partial_line: Vec<u8>,
 }
 
 impl Tail {
     /// Opens a log and starts at its beginning.
     ///
     /// # Errors
-    /// Those of opening the file.
+    /// If the file can't be opened.
     pub fn open(log: &Path) -> std::io::Result<Tail> {
-        Ok(Tail { file: File::open(log)?, part: Vec::new() })
+        Ok(Tail { file: File::open(log)?, partial_line: Vec::new() })
     }
 
     /// The complete lines that were added since the last call, from at most [`MAX_NEW_BYTES`] bytes; a longer
     /// line is split there.
     pub fn new_lines(&mut self) -> Vec<String> {
-        let read = std::io::Read::by_ref(&mut self.file).take(MAX_NEW_BYTES).read_to_end(&mut self.part);
+        let read =
+            std::io::Read::by_ref(&mut self.file).take(MAX_NEW_BYTES).read_to_end(&mut self.partial_line);
         if !matches!(read, Ok(n) if n > 0) {
             return Vec::new();
         }
-        let end = match self.part.iter().rposition(|b| *b == b'\n') {
-            Some(at) => at + 1,
-            None if self.part.len() as u64 >= MAX_NEW_BYTES => self.part.len(),
+        let end = match self.partial_line.iter().rposition(|b| *b == b'\n') {
+            Some(newline) => newline + 1,
+            None if self.partial_line.len() as u64 >= MAX_NEW_BYTES => self.partial_line.len(),
             None => return Vec::new(),
         };
-        let complete: Vec<u8> = self.part.drain(..end).collect();
+        let complete: Vec<u8> = self.partial_line.drain(..end).collect();
         String::from_utf8_lossy(&complete).lines().map(str::to_owned).collect()
     }
 }
