--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -23,7 +23,7 @@
 
 /// A period in which an engine was estimated to be busy without an attempt of this manager, ended by a load
 /// report.
-struct IdlePeriod {
+struct UnusedBusyPeriod {
     duration_s: f64,
     /// Utilisation estimated just before the report, in threads per core.
     estimated: f64,
@@ -46,24 +46,25 @@
 /// Sums over all captures. Times are in engine-seconds.
 #[derive(Default)]
 struct Totals {
-    /// Listed and not ejected.
-    listed: f64,
-    /// Estimated to be busy.
-    busy: f64,
-    /// Busy without an attempt of this manager.
-    busy_idle: f64,
-    /// Full without an attempt of this manager.
-    full_idle: f64,
-    /// Busy without an attempt of this manager, while requests were queued.
-    busy_idle_queued: f64,
+    /// Time in which engines were listed and not ejected.
+    listed_s: f64,
+    /// Time in which engines were estimated to be busy.
+    busy_s: f64,
+    /// Time in which engines were estimated to be busy without an attempt of this manager.
+    busy_unused_s: f64,
+    /// Time in which engines were estimated to be full without an attempt of this manager.
+    full_unused_s: f64,
+    /// Time in which engines were estimated to be busy without an attempt of this manager, while requests were
+    /// queued.
+    busy_unused_queued_s: f64,
     /// Number of rejected requests.
     rejected: u64,
-    /// Number of requests rejected while an engine was busy without an attempt of this manager.
-    rejected_with_idle: u64,
-    /// Number of requests.
+    /// Number of requests rejected while an engine was estimated to be busy without an attempt of this manager.
+    rejected_with_busy_unused: u64,
+    /// Number of requests that arrived.
     arrived: u64,
-    idle_periods: Vec<IdlePeriod>,
-    /// Errors by the age of the previous report, in steps.
+    unused_busy_periods: Vec<UnusedBusyPeriod>,
+    /// Errors of the estimates by the age of the previous report, in steps of [`AGE_STEPS_PER_SECOND`].
     errors_by_age: BTreeMap<u32, EstimateErrors>,
 }
 
@@ -77,8 +78,9 @@
     attempt_engines: BTreeMap<(RequestId, u32), EngineId>,
     /// Number of each request's next attempt.
     next_attempt: BTreeMap<RequestId, u32>,
-    /// Time since which each engine, by number, has been busy without an attempt of this manager.
-    idle_since: BTreeMap<u32, Timestamp>,
+    /// Time since which each engine, by number, has been estimated to be busy without an attempt of this
+    /// manager.
+    busy_unused_since: BTreeMap<u32, Timestamp>,
 }
 
 fn main() -> Result<(), BoxError> {
@@ -91,31 +93,37 @@
         }
     }
     print_times(&totals);
-    print_idle_periods(&totals.idle_periods);
+    print_unused_busy_periods(&totals.unused_busy_periods);
     print_errors(&totals);
     Ok(())
 }
 
 fn print_times(totals: &Totals) {
-    let percent = |time: f64| 100.0 * time / totals.listed.max(1e-9);
+    let percent = |time_s: f64| 100.0 * time_s / totals.listed_s.max(1e-9);
     println!(
         "{:.0} engine-seconds listed; {} requests arrived, {} rejected",
-        totals.listed, totals.arrived, totals.rejected
+        totals.listed_s, totals.arrived, totals.rejected
+    );
+    println!(
+        "estimated to be busy (over {BUSY_UTILISATION} threads per core): {:.1}%",
+        percent(totals.busy_s)
     );
-    println!("estimated to be busy (over {BUSY_UTILISATION} threads per core): {:.1}%", percent(totals.busy));
     println!(
         "  without an attempt of this manager: {:.1}%, over {FULL_UTILISATION}: {:.1}%",
-        percent(totals.busy_idle),
-        percent(totals.full_idle)
+        percent(totals.busy_unused_s),
+        percent(totals.full_unused_s)
+    );
+    println!("  and with requests in the queue: {:.1}%", percent(totals.busy_unused_queued_s));
+    println!(
+        "rejected while there was such an engine: {} of {}",
+        totals.rejected_with_busy_unused, totals.rejected
     );
-    println!("  and with requests in the queue: {:.1}%", percent(totals.busy_idle_queued));
-    println!("rejected while there was such an engine: {} of {}", totals.rejected_with_idle, totals.rejected);
 }
 
-fn print_idle_periods(periods: &[IdlePeriod]) {
+fn print_unused_busy_periods(periods: &[UnusedBusyPeriod]) {
     let count = periods.len().max(1) as f64;
-    let mean = |value: fn(&IdlePeriod) -> f64| periods.iter().map(value).sum::<f64>() / count;
-    let free = periods.iter().filter(|period| period.reported < 1.0).count();
+    let mean = |value: fn(&UnusedBusyPeriod) -> f64| periods.iter().map(value).sum::<f64>() / count;
+    let with_free_cores = periods.iter().filter(|period| period.reported < 1.0).count();
     println!(
         "{} such periods were ended by a report: on average {:.2} s, estimated {:.2} threads per core, reported {:.2}; \
          {:.0}% reported under 1",
@@ -123,7 +131,7 @@
         mean(|period| period.duration_s),
         mean(|period| period.estimated),
         mean(|period| period.reported),
-        100.0 * free as f64 / count
+        100.0 * with_free_cores as f64 / count
     );
 }
 
@@ -149,7 +157,7 @@
         queued_requests: 0,
         attempt_engines: BTreeMap::new(),
         next_attempt: BTreeMap::new(),
-        idle_since: BTreeMap::new(),
+        busy_unused_since: BTreeMap::new(),
     };
     for open in policy.open_requests() {
         measurement.next_attempt.insert(open.id, open.attempts);
@@ -162,7 +170,7 @@
 }
 
 /// Whether an engine is estimated to be busy while the manager has no attempt on it.
-fn is_busy_and_idle(engine: &EngineView) -> bool {
+fn is_busy_without_own_attempt(engine: &EngineView) -> bool {
     engine.listed
         && !engine.ejected
         && engine.attempts_in_flight == 0
@@ -172,9 +180,9 @@
 impl Measurement<'_> {
     fn add_step(&mut self, step: &Step) {
         let now = step.record.at;
-        let elapsed = (now - self.last_step_at).as_secs_f64().max(0.0);
+        let elapsed_s = (now - self.last_step_at).as_secs_f64().max(0.0);
         self.last_step_at = now;
-        self.add_times(now, elapsed);
+        self.add_times(now, elapsed_s);
         if let RecordedInput::Event(event) = &step.record.input {
             self.add_event(step, event);
         }
@@ -185,22 +193,23 @@
         self.queued_requests = step.policy.overview().queued_requests;
     }
 
-    fn add_times(&mut self, now: Timestamp, elapsed: f64) {
+    /// Adds the time since the previous step to the totals, by the engines' state after that step.
+    fn add_times(&mut self, now: Timestamp, elapsed_s: f64) {
         for engine in self.engines.iter().filter(|engine| engine.listed && !engine.ejected) {
-            self.totals.listed += elapsed;
+            self.totals.listed_s += elapsed_s;
             if engine.utilisation > BUSY_UTILISATION {
-                self.totals.busy += elapsed;
+                self.totals.busy_s += elapsed_s;
             }
-            if !is_busy_and_idle(engine) {
+            if !is_busy_without_own_attempt(engine) {
                 continue;
             }
-            self.idle_since.entry(engine.engine).or_insert(now);
-            self.totals.busy_idle += elapsed;
+            self.busy_unused_since.entry(engine.engine).or_insert(now);
+            self.totals.busy_unused_s += elapsed_s;
             if engine.utilisation > FULL_UTILISATION {
-                self.totals.full_idle += elapsed;
+                self.totals.full_unused_s += elapsed_s;
             }
             if self.queued_requests > 0 {
-                self.totals.busy_idle_queued += elapsed;
+                self.totals.busy_unused_queued_s += elapsed_s;
             }
         }
     }
@@ -231,10 +240,10 @@
             errors.sum += estimated - reported;
             errors.absolute_sum += (estimated - reported).abs();
         }
-        if let Some(since) = self.idle_since.remove(&before.engine) {
+        if let Some(since) = self.busy_unused_since.remove(&before.engine) {
             let duration_s = (step.record.at - since).as_secs_f64();
-            let period = IdlePeriod { duration_s, estimated: before.utilisation, reported };
-            self.totals.idle_periods.push(period);
+            let period = UnusedBusyPeriod { duration_s, estimated: before.utilisation, reported };
+            self.totals.unused_busy_periods.push(period);
         }
     }
 
@@ -247,7 +256,8 @@
             }
             Action::Reject { .. } => {
                 self.totals.rejected += 1;
-                self.totals.rejected_with_idle += u64::from(self.engines.iter().any(is_busy_and_idle));
+                let has_busy_unused = self.engines.iter().any(is_busy_without_own_attempt);
+                self.totals.rejected_with_busy_unused += u64::from(has_busy_unused);
             }
             _ => {}
         }
