--- a/crates/capture/src/explain.rs
+++ b/crates/capture/src/explain.rs
@@ -2,8 +2,8 @@
 //!
 //! The capture is replayed with the policy's explanations switched on. If the replay diverges from the
 //! recording, a line says so: the explanations after it describe decisions of the replay, which may differ
-//! from the recorded ones. Each view has a module: [`request`], [`engine`], [`moment`]; [`texts`] and
-//! [`engine_texts`] have the texts.
+//! from the recorded ones. Each kind of question has a module: [`request`], [`engine`], [`moment`]. [`texts`]
+//! and [`engine_texts`] contain the wording of the lines.
 
 mod engine;
 mod engine_texts;
@@ -20,7 +20,7 @@
 use serde_json::{json, Value};
 use sprucelink_policy::{TimeDelta, Timestamp};
 
-/// Time before and after a moment whose events are explained, too.
+/// Time before and after the moment of a [`Question::At`] in which events are explained.
 const MOMENT_MARGIN: TimeDelta = TimeDelta::from_millis(50);
 
 /// The subject of an explanation.
@@ -39,7 +39,7 @@
 pub struct Line {
     /// Time of the event or decision, in Unix microseconds.
     pub at_us: i64,
-    /// Explanation for people.
+    /// Text of the line, for people.
     pub text: String,
     /// The content of the line as JSON, for tools.
     pub data: Value,
--- a/crates/capture/src/explain/engine.rs
+++ b/crates/capture/src/explain/engine.rs
@@ -12,9 +12,10 @@
 
 /// Change of the estimated utilisation above which a line is added, in threads per core.
 const MIN_UTILISATION_CHANGE: f64 = 0.25;
-/// Name under which draws are counted in which the engine was eligible.
+/// Key in [`DrawCounts::by_reason`] of the draws in which the engine was eligible.
 const ELIGIBLE: &str = "in the draw";
-/// Utilisation before the first line: it differs enough from every real one that a line is added.
+/// Initial value of the last utilisation: it differs enough from every real utilisation that a first line is
+/// added.
 const NO_UTILISATION: f64 = -1.0;
 
 /// State of an explanation of one engine.
@@ -52,9 +53,9 @@
     }
 
     fn describe(&self) -> String {
-        let counts: Vec<String> =
+        let count_texts: Vec<String> =
             self.by_reason.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
-        format!("looked at in {} draws since: {}", self.total, counts.join(", "))
+        format!("looked at in {} draws since: {}", self.total, count_texts.join(", "))
     }
 
     fn to_json(&self) -> Value {
@@ -79,7 +80,7 @@
         self.add_engine_lines(step.record.at, texts, &view);
     }
 
-    /// Texts for what an input says about the engine.
+    /// Texts for the parts of an input that are about the engine.
     fn describe_engine_input(&self, engine: EngineId, input: &RecordedInput) -> Vec<String> {
         match input {
             RecordedInput::Event(Event::EndpointsChanged { entries, .. }) => entries
--- a/crates/capture/src/explain/engine_texts.rs
+++ b/crates/capture/src/explain/engine_texts.rs
@@ -1,5 +1,5 @@
 //! Texts about engines in explanations: their state as the policy estimates it, and why an engine is not
-//! eligible. Like those in [`super::texts`] they are an interface.
+//! eligible. Like the texts in [`super::texts`] they are an interface: their terms must not change.
 
 use super::texts::describe_optional;
 use sprucelink_policy::diagnostics::EngineView;
--- a/crates/capture/src/explain/explanation.rs
+++ b/crates/capture/src/explain/explanation.rs
@@ -15,7 +15,8 @@
 /// State of an explanation over the replay of the segments.
 pub(super) struct Explanation<'a> {
     question: &'a Question,
-    pub(super) engines: EngineNumbers,
+    /// Assignment of numbers to engines at the current point of the replay.
+    pub(super) engine_numbers: EngineNumbers,
     /// The engine that a [`Question::Engine`] is about.
     pub(super) tracked_engine: EngineTracker,
     /// Number of the engine of each attempt in flight, by request and attempt number.
@@ -32,7 +33,7 @@
     pub(super) fn new(question: &'a Question, on_line: &'a mut dyn FnMut(Line)) -> Explanation<'a> {
         Explanation {
             question,
-            engines: EngineNumbers::default(),
+            engine_numbers: EngineNumbers::default(),
             tracked_engine: EngineTracker::default(),
             attempt_engines: BTreeMap::new(),
             next_attempt: BTreeMap::new(),
@@ -51,10 +52,10 @@
         (self.on_line)(Line { at_us: at.as_micros(), text, data });
     }
 
-    /// Begins a segment: takes the engines and the attempts in flight from its checkpoint. For a request a
-    /// line reports events that were lost before the segment.
+    /// Begins a segment: takes the engine numbers and the attempts in flight from its checkpoint. If the
+    /// question is about a request, a line reports the events that were lost before the segment.
     pub(super) fn begin_segment(&mut self, segment: &Segment) -> Result<(), StateError> {
-        self.engines.clone_from(&segment.engines);
+        self.engine_numbers.clone_from(&segment.engines);
         let policy = segment.policy()?;
         self.attempt_engines.clear();
         self.next_attempt.clear();
@@ -78,14 +79,14 @@
     fn find_engine(&mut self) {
         let Question::Engine(name) = self.question else { return };
         let by_number = || name.strip_prefix('#').and_then(|number| number.parse().ok());
-        if let Some(number) = self.engines.number_of(name).or_else(by_number) {
+        if let Some(number) = self.engine_numbers.number_of(name).or_else(by_number) {
             self.tracked_engine.number = Some(number);
         }
     }
 
     /// Adds the lines of one step of the replay.
     pub(super) fn add_step(&mut self, step: &Step) {
-        self.engines.apply(&step.record.input);
+        self.engine_numbers.apply(&step.record.input);
         if matches!(step.record.input, RecordedInput::EngineNumbered { .. }) {
             self.find_engine();
         }
@@ -124,7 +125,7 @@
     pub(super) fn describe_request_event(&self, event: &Event) -> Option<String> {
         let Event::AttemptEnded { id, attempt, .. } = event else { return describe_event(event) };
         let engine = self.engine_of(*id, *attempt);
-        let engine = engine.map_or("an engine".to_owned(), |number| self.engines.describe(number));
+        let engine = engine.map_or("an engine".to_owned(), |number| self.engine_numbers.describe(number));
         describe_attempt_end(event, &engine)
     }
 
@@ -134,7 +135,7 @@
         match action {
             Action::ForwardAttempt { engine, id, .. } => {
                 let attempt = self.next_attempt_of(*id);
-                format!("sent, attempt {attempt}, to {}", self.engines.describe(engine.0))
+                format!("sent, attempt {attempt}, to {}", self.engine_numbers.describe(engine.0))
             }
             Action::SetExecutionTerms { grant_mb, level, .. } => {
                 let memory =
@@ -147,7 +148,7 @@
             Action::Fail { retry_after, .. } => {
                 format!("failed, come back in {} s", seconds(retry_after))
             }
-            Action::Explain(reason) => describe_reason(reason, &self.engines),
+            Action::Explain(reason) => describe_reason(reason, &self.engine_numbers),
             other => format!("{other:?}"),
         }
     }
--- a/crates/capture/src/explain/moment.rs
+++ b/crates/capture/src/explain/moment.rs
@@ -36,7 +36,7 @@
         let text = describe_overview(&overview);
         self.add_line(now, text, json!({"kind": "overview", "overview": overview}));
         for engine in step.policy.engine_views().into_iter().filter(|engine| !engine.withdrawn) {
-            let name = self.engines.describe(engine.engine);
+            let name = self.engine_numbers.describe(engine.engine);
             let text = format!("engine {name}: {}", describe_engine_state(&engine));
             self.add_line(now, text, json!({"kind": "belief", "belief": engine}));
         }
--- a/crates/capture/src/rules/checker.rs
+++ b/crates/capture/src/rules/checker.rs
@@ -29,8 +29,9 @@
     requests: BTreeMap<RequestId, RequestState>,
     /// Deadlines of the requests without a final response.
     deadlines: BTreeSet<(Timestamp, RequestId)>,
-    /// Time at which the policy was told that an engine drains or is withdrawn.
-    unlisted_since: BTreeMap<EngineId, Timestamp>,
+    /// Time at which the policy was told that an engine drains or is withdrawn, for engines that are not ready
+    /// again.
+    drained_or_withdrawn_at: BTreeMap<EngineId, Timestamp>,
     /// Times of the arrivals within the window of the retry budget.
     arrivals: VecDeque<Timestamp>,
     /// Times of the retries within the window of the retry budget.
@@ -65,7 +66,7 @@
             start,
             requests,
             deadlines,
-            unlisted_since: unlisted.map(|engine| (EngineId(engine.engine), start)).collect(),
+            drained_or_withdrawn_at: unlisted.map(|engine| (EngineId(engine.engine), start)).collect(),
             arrivals: VecDeque::new(),
             retries: VecDeque::new(),
             breaches: Vec::new(),
@@ -108,25 +109,25 @@
         if matches!(kind, EndpointUpdate::Complete | EndpointUpdate::Remembered) {
             // An engine that is missing from a complete list is withdrawn.
             let is_absent = |engine: &EngineId| !entries.iter().any(|entry| entry.engine == *engine);
-            for engine in (0..self.unlisted_engine_bound()).map(EngineId).filter(is_absent) {
-                self.unlisted_since.entry(engine).or_insert(now);
+            for engine in (0..self.drained_or_withdrawn_bound()).map(EngineId).filter(is_absent) {
+                self.drained_or_withdrawn_at.entry(engine).or_insert(now);
             }
         }
         for entry in entries {
             match entry.state {
                 EngineState::Ready => {
-                    self.unlisted_since.remove(&entry.engine);
+                    self.drained_or_withdrawn_at.remove(&entry.engine);
                 }
                 EngineState::Draining | EngineState::Gone => {
-                    self.unlisted_since.entry(entry.engine).or_insert(now);
+                    self.drained_or_withdrawn_at.entry(entry.engine).or_insert(now);
                 }
             }
         }
     }
 
-    /// One more than the highest number of an engine that is unlisted.
-    fn unlisted_engine_bound(&self) -> u32 {
-        self.unlisted_since.keys().map(|engine| engine.0 + 1).max().unwrap_or(0)
+    /// One more than the highest number of an engine that drains or is withdrawn.
+    fn drained_or_withdrawn_bound(&self) -> u32 {
+        self.drained_or_withdrawn_at.keys().map(|engine| engine.0 + 1).max().unwrap_or(0)
     }
 
     fn add_request(&mut self, now: Timestamp, arrival: &Arrival) {
@@ -206,8 +207,8 @@
     }
 
     fn check_drain(&mut self, now: Timestamp, id: RequestId, engine: EngineId) {
-        let Some(unlisted_at) = self.unlisted_since.get(&engine).copied() else { return };
-        let elapsed = now - unlisted_at;
+        let Some(since) = self.drained_or_withdrawn_at.get(&engine).copied() else { return };
+        let elapsed = now - since;
         if elapsed > self.settings.drain_grace {
             let ms = to_ms(elapsed);
             let why = format!(
--- a/crates/capture/src/rules/expectations.rs
+++ b/crates/capture/src/rules/expectations.rs
@@ -21,7 +21,7 @@
 
 /// Counts the attempts that one rule is about.
 struct AttemptCounter {
-    /// A [`Rule::ForwardedAttempts`].
+    /// The rule, which is always a [`Rule::ForwardedAttempts`].
     rule: Rule,
     attempts: usize,
 }
@@ -76,7 +76,7 @@
     }
 
     /// The expectations that are not met, each with a description: first those that count attempts, then the
-    /// others.
+    /// remaining ones.
     pub(super) fn unmet(&self, rules: &[Rule]) -> Vec<(Rule, String)> {
         let counters = self.attempt_counters.iter().filter_map(unmet_count);
         let others = rules.iter().filter_map(|rule| self.unmet_expectation(rule));
