--- a/crates/capture/src/codec/actions.rs
+++ b/crates/capture/src/codec/actions.rs
@@ -1,4 +1,4 @@
-//! Converts actions of the policy, and computes the digest of an answer.
+//! Converts actions of the policy to protobuf messages and back, and computes the digest of an answer.
 
 use super::DecodeError;
 use crate::pb;
@@ -42,7 +42,7 @@
     actions.iter().filter_map(encode_action).collect()
 }
 
-/// Decodes an action.
+/// Decodes an action of a recorded answer.
 ///
 /// # Errors
 /// A field is missing or holds an unknown value.
--- a/crates/capture/src/codec/headers.rs
+++ b/crates/capture/src/codec/headers.rs
@@ -1,11 +1,11 @@
-//! Converts the headers of segments, and the engines' numbers in their checkpoints.
+//! Converts segment headers, and the engine numbers in checkpoints, to protobuf messages and back.
 
 use crate::engine_numbers::EngineNumber;
 use crate::pb;
 use crate::segment::SegmentHeader;
 use sprucelink_policy::Timestamp;
 
-/// Encodes a header.
+/// Encodes the header of a segment as the body of its head frame.
 pub fn encode_header(header: &SegmentHeader) -> pb::Head {
     pb::Head {
         format: header.format,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Decodes a header.
+/// Decodes the header of a segment. Fields that the message lacks have protobuf's default values.
 pub fn decode_header(head: pb::Head) -> SegmentHeader {
     SegmentHeader {
         format: head.format,
--- a/crates/capture/src/codec/inputs.rs
+++ b/crates/capture/src/codec/inputs.rs
@@ -1,4 +1,4 @@
-//! Converts the inputs of records.
+//! Converts the inputs of records to protobuf messages and back.
 
 use super::values::{
     decode_report, decode_value, encode_report, encode_value, ENDPOINT_UPDATES, ENGINE_STATES, OUTCOMES,
@@ -13,7 +13,7 @@
     TimeDelta, Timestamp,
 };
 
-/// Encodes an input.
+/// Encodes an input as the part of a record that depends on the input's kind.
 pub fn encode_input(input: &RecordedInput) -> InputKind {
     match input {
         RecordedInput::Event(event) => encode_event(event),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Encodes an event.
+/// Encodes an event as [`encode_input`] does, without a copy of the event.
 pub fn encode_event(event: &Event) -> InputKind {
     match event {
         Event::EndpointsChanged { kind, entries } => InputKind::List(pb::List {
@@ -101,7 +101,7 @@
     pb::Probed { engine: engine.0, outcome: encode_value(&OUTCOMES, &outcome), report: encode_report(report) }
 }
 
-/// Decodes an input.
+/// Decodes the input of a record.
 ///
 /// # Errors
 /// A field is missing or holds an unknown value; the error names the first one.
--- a/crates/capture/src/codec/values.rs
+++ b/crates/capture/src/codec/values.rs
@@ -1,4 +1,4 @@
-//! Converts enumerations and load reports. The format stores an enumeration value as its index in one of the
+//! Converts enumerations and load reports to protobuf values and back. The format stores an enumeration value as its index in one of the
 //! lists in this file: new values may only be appended, or older captures would be decoded wrongly.
 
 use super::DecodeError;
--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -14,7 +14,7 @@
     /// The file or folder cannot be read.
     #[error("{path}", path = path.display())]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
         /// Error of the file system.
         source: io::Error,
@@ -22,26 +22,26 @@
     /// The file is larger than the reader accepts.
     #[error("{path}: too large for a capture file", path = path.display())]
     TooLong {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
     /// The folder contains no capture file.
     #[error("{path}: no file that ends in {SUFFIX}", path = path.display())]
     NoFiles {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
     },
     /// The content of the file is not a capture that this build can read.
     #[error("{path}", path = path.display())]
     Content {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// What is wrong with the content.
         source: ParseError,
     },
 }
 
-/// Bytes that are not a capture, or one in a newer format.
+/// Bytes that are not a capture, or a capture in a newer format.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     /// There are no bytes.
@@ -101,10 +101,10 @@
 /// A case that cannot be cut out of a capture.
 #[derive(Debug, thiserror::Error)]
 pub enum CutError {
-    /// No segment covers the moment.
+    /// No segment covers the moment that the case is to show.
     #[error("no segment holds that moment")]
     MomentNotRecorded,
-    /// The replay up to the moment gives other answers than were recorded.
+    /// The replay of the records before the start of the case gives different answers from the recorded ones.
     #[error(
         "the replay diverges from the recording before that moment, at record {record}: got {got}, \
          expected {expected}"
@@ -120,7 +120,7 @@
     /// The policy's state at the start of the case cannot be serialised.
     #[error("the module's state cannot be written")]
     State(#[source] rmp_serde::encode::Error),
-    /// No event was recorded in the span.
+    /// No event was recorded in the span of the case.
     #[error("no event was recorded around that moment")]
     NothingRecorded,
     /// The capture holds digests of answers, and the replay's answers do not match them.
--- a/crates/capture/src/frame/tests.rs
+++ b/crates/capture/src/frame/tests.rs
@@ -1,4 +1,4 @@
-//! Frames are read back as written; damaged and truncated ones are detected.
+//! Tests that damaged and truncated frames are detected, and that the next intact frame is found.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/capture/src/identity.rs
+++ b/crates/capture/src/identity.rs
@@ -4,7 +4,7 @@
 use std::env::consts::{ARCH, OS};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Version of the files that this crate writes. It reads this one and every older one.
+/// Version of the file format that this crate writes; it reads this version and all older ones.
 pub const FORMAT: u32 = 1;
 
 /// Number of inputs that [`float_digest`] covers.
--- a/crates/capture/src/input.rs
+++ b/crates/capture/src/input.rs
@@ -2,7 +2,7 @@
 
 use sprucelink_policy::Event;
 
-/// One input of a record.
+/// The input of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordedInput {
     /// An event, as given to the policy.
@@ -13,7 +13,7 @@
         id: String,
         /// Number by which the policy knows the engine.
         number: u32,
-        /// The number was freed; otherwise it was assigned.
+        /// Whether the number was freed; otherwise it was assigned.
         freed: bool,
     },
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,5 +1,5 @@
-//! Capture and replay of the decision module: the events that the policy was given and the actions that it
-//! answered with, in order, in a ring of files, each of which can be replayed without the others.
+//! Capture and replay of the policy: the events that the policy was given and the actions that it answered
+//! with, in order, in a ring of files, each of which can be replayed without the others.
 //!
 //! | module | purpose | input and output |
 //! | --- | --- | --- |
@@ -12,7 +12,7 @@
 //! | [`reader`] | reads files, reports damage | files |
 //! | [`segment_writer`] | writes a segment as a file | none |
 //! | [`replay`] | feeds a segment to the policy and compares its actions | none |
-//! | [`rules`] | what must hold over a replay | none |
+//! | [`rules`] | rules that a replay must hold | none |
 //! | [`explain`] | explains a request, an engine, a moment | none |
 //! | [`cut`] | cuts a small case out of a capture | none |
 
--- a/crates/capture/src/reader.rs
+++ b/crates/capture/src/reader.rs
@@ -73,7 +73,7 @@
     parse(&bytes, path).map_err(|source| ReadError::Content { path: path.to_owned(), source })
 }
 
-/// Reads the content of a capture file. `path` only becomes [`Segment::file`].
+/// Reads the content of a capture file. `path` is not accessed, only stored as [`Segment::file`].
 ///
 /// # Errors
 /// The bytes contain no segment, or are in a newer format.
@@ -133,7 +133,7 @@
 
 /// Why a frame's body cannot be used.
 enum BodyError {
-    /// The segment is in this newer format.
+    /// The segment is in a format newer than this build reads; the value is its version.
     NewerFormat(u32),
     /// The body is damaged, for this reason.
     Damaged(String),
@@ -179,7 +179,7 @@
             Ok(())
         }
         FrameKind::Checkpoint => read_checkpoint(open.as_mut(), body, path),
-        // After damage no segment is open: blocks up to the next head cannot be used.
+        // After damage no segment is open, and blocks before the next head cannot be used.
         FrameKind::Block => open.as_mut().map_or(Ok(()), |open| read_block(open, body)),
         FrameKind::Tail => {
             let tail = read_tail(open.as_ref(), body)?;
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -25,8 +25,8 @@
 use std::time::{Duration, Instant};
 use writer::{Job, Shared, Writer};
 
-/// Size at which a batch is queued for the writer, in bytes: small enough to reach the disk soon, large
-/// enough to compress well.
+/// Size at which a batch of records is queued for the writer, in bytes: small enough to reach the disk soon,
+/// large enough to compress well.
 const BLOCK_BYTES: usize = 32 * 1024;
 /// Maximum number of jobs in the queue, in addition to its bound in bytes. Blocks that are flushed by age may
 /// be small: fifty of them accumulate while the writer stalls for ten seconds.
@@ -49,8 +49,8 @@
     pub lost: u64,
 }
 
-/// Records the events that a policy is given and its answers. Dropping it closes the segment and waits a
-/// limited time for the writer.
+/// Records the events that a policy is given, and the policy's answers. Dropping the recorder closes the
+/// segment and waits a limited time for the writer.
 pub struct Recorder {
     ring: Ring,
     answers: AnswerFormat,
--- a/crates/capture/src/recorder/store.rs
+++ b/crates/capture/src/recorder/store.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Stores the files of a ring. It is a trait so that tests can make every call fail.
+/// Stores the files of a ring. This is a trait so that tests can make every call fail.
 pub trait SegmentStore: Send {
     /// The files of the ring, oldest first.
     fn list(&mut self) -> io::Result<Vec<RingFile>>;
--- a/crates/capture/src/recorder/writer.rs
+++ b/crates/capture/src/recorder/writer.rs
@@ -51,7 +51,7 @@
 pub(super) struct Shared {
     /// Bytes of the jobs in the queue.
     pub(super) queued_bytes: AtomicU64,
-    /// A write failed and ended the segment; the recorder clears it at its next flush.
+    /// Whether a write failed and ended the segment; the recorder clears the flag at its next flush.
     pub(super) is_segment_failed: AtomicBool,
     /// Events that the writer lost and the recorder has not taken into account yet.
     pub(super) unreported_lost_events: AtomicU64,
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -53,13 +53,13 @@
     pub events: usize,
     /// Number of events for which the policy's answer differs from the recorded one.
     pub differing_events: usize,
-    /// The first difference; `None` if all answers are the recorded ones.
+    /// The first difference; `None` if all answers equal the recorded ones.
     pub first_divergence: Option<Divergence>,
     /// Number of differing events by kind of action; an event may count under several kinds.
     pub differing_by_kind: BTreeMap<&'static str, usize>,
     /// Digest of all replayed answers, in order.
     pub digest: u64,
-    /// Panic of the policy, at which the replay ended.
+    /// Panic of the policy, at which the replay ended; absent if the policy did not panic.
     pub panic: Option<PolicyPanic>,
 }
 
@@ -85,7 +85,7 @@
 pub struct ReplayOptions<'a> {
     /// Treatment of recorded outcomes of decisions that the replayed policy did not make.
     pub outcome_policy: OutcomePolicy,
-    /// Time up to which records are replayed; all if absent.
+    /// Time up to which records are replayed; all records if absent.
     pub until: Option<Timestamp>,
     /// Whether the policy adds explanations of its decisions to its actions.
     pub explain: bool,
--- a/crates/capture/src/replay/outcome_policy.rs
+++ b/crates/capture/src/replay/outcome_policy.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OutcomePolicy {
-    /// The policy is given all outcomes unchanged. It ignores those of attempts that it does not have in
-    /// flight. An attempt that it forwarded to another engine under the same number gets the outcome, latency
-    /// and load report of the recorded attempt.
+    /// The policy is given all outcomes unchanged. It ignores outcomes of attempts that it does not have in
+    /// flight. If it forwarded an attempt to another engine than was recorded, under the same attempt number,
+    /// the attempt gets the outcome, latency and load report of the recorded attempt.
     #[default]
     Recorded,
-    /// The policy is given what depends on the request, but not what depends on the engine. An attempt on
-    /// another engine ends at the recorded time, as succeeded or as cancelled, with the recorded query cost
+    /// The policy is given the parts of an outcome that depend on the request, but not those that depend on
+    /// the engine. An attempt on another engine than was recorded ends at the recorded time, as succeeded or as cancelled, with the recorded query cost
     /// and without a load report, and its progress notes are left out. An attempt that was not recorded ends
     /// only when the policy cancels it.
     Matched,
--- a/crates/capture/src/replay/recorded_attempts.rs
+++ b/crates/capture/src/replay/recorded_attempts.rs
@@ -4,7 +4,7 @@
 use sprucelink_policy::{Action, EngineId, Event, Policy, RequestId};
 use std::collections::BTreeMap;
 
-/// The recorded attempts in flight, which attribute a recorded outcome to an engine.
+/// The recorded attempts in flight, by which recorded outcomes are attributed to engines.
 #[derive(Default)]
 pub(super) struct RecordedAttempts {
     /// Engine of each attempt in flight, by request and attempt number.
@@ -26,7 +26,7 @@
         attempts
     }
 
-    /// The engine of an attempt in flight; `None` for an attempt that was not recorded.
+    /// The engine of an attempt; `None` if the attempt was not recorded or is no longer in flight.
     pub(super) fn engine_of(&self, id: RequestId, attempt: u32) -> Option<EngineId> {
         self.engines.get(&(id, attempt)).copied()
     }
--- a/crates/capture/src/ring.rs
+++ b/crates/capture/src/ring.rs
@@ -6,9 +6,9 @@
 /// Limits of a recorder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RingLimits {
-    /// Size of all files together, in bytes.
+    /// Maximum size of all files together, in bytes.
     pub ring_bytes: u64,
-    /// A file whose last write is older than this is removed, except the newest file.
+    /// Age of its last write at which a file is removed, except the newest file.
     pub ring_age: TimeDelta,
     /// Size of the records, in bytes before compression, at which a segment ends.
     pub segment_bytes: u64,
@@ -64,7 +64,7 @@
         Ring { limits, open: None, tokens, refilled_at: now, retry_at: now, lost_events: 0 }
     }
 
-    /// Whether a new segment is to begin now. It replaces the open one, if there is one.
+    /// Whether a new segment is to begin now, in place of the open one if there is one.
     pub fn is_segment_due(&self, now: Timestamp) -> bool {
         let Some(open) = self.open else {
             // A clock that was set back must not delay the next segment for longer than the retry interval.
@@ -82,7 +82,7 @@
         std::mem::take(&mut self.lost_events)
     }
 
-    /// Decides whether a batch of `bytes` bytes and `events` records is written. Dropping it ends the
+    /// Decides whether a batch of `bytes` bytes and `events` records is written. A dropped batch ends the
     /// segment.
     pub fn admit(&mut self, now: Timestamp, bytes: u64, events: u64) -> BatchDecision {
         self.refill(now);
@@ -131,7 +131,7 @@
     pub modified_at: Timestamp,
 }
 
-/// Number of files to remove, oldest first, so that `needed_bytes` more fit and no file is too old. The
+/// Number of files to remove, oldest first, so that `needed_bytes` more bytes fit and no file is too old. The
 /// newest file is never removed, since the segment that is about to begin has hardly any records yet.
 pub fn count_expired(limits: &RingLimits, files: &[RingFile], needed_bytes: u64, now: Timestamp) -> usize {
     let mut total_bytes = files.iter().map(|file| file.bytes).sum::<u64>() + needed_bytes;
--- a/crates/capture/src/ring/tests.rs
+++ b/crates/capture/src/ring/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions of the ring in single cases and in random sequences.
+//! Tests of the ring's decisions in single cases and in random sequences.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -8,7 +8,7 @@
 use sprucelink_policy::{Action, Policy, Timestamp};
 use std::path::PathBuf;
 
-/// The policy's answer to an event.
+/// The policy's answer to an event, as far as it was recorded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The actions, without explanations.
@@ -27,12 +27,12 @@
 /// An input of the policy and its answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Time at which the policy was given the input. After a step of the clock it may be earlier than that of
-    /// the previous record.
+    /// Time at which the policy was given the input. If the clock was set back, it may be earlier than the
+    /// time of the previous record.
     pub at: Timestamp,
     /// The event, or a change of an engine's number.
     pub input: RecordedInput,
-    /// The policy's answer.
+    /// The policy's answer; it has no actions if the input is a change of an engine's number.
     pub answer: Answer,
 }
 
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -1,4 +1,4 @@
-//! The recorder's settings, in JSON5 (`deploy/capture.json5`; docs/operators/capture.md explains each).
+//! The recorder's settings, in JSON5 (`deploy/capture.json5`; docs/operators/capture.md explains each setting).
 
 use crate::error::SettingsError;
 use crate::ring::RingLimits;
@@ -18,10 +18,10 @@
 pub struct Settings {
     /// Folder of the ring's files, which is created if it does not exist.
     pub dir: PathBuf,
-    /// Size of all files together, in MB: 1 to 1,000,000.
+    /// Maximum size of all files together, in MB: 1 to 1,000,000.
     #[serde(default = "ring_mb")]
     pub ring_mb: u64,
-    /// Age at which a file is removed, in minutes: 1 to 100,000.
+    /// Age of its last write at which a file is removed, in minutes: 1 to 100,000.
     #[serde(default = "ring_minutes")]
     pub ring_minutes: u64,
     /// Size at which a segment ends, in MB before compression: 1 to 1,024. Shorter segments lose less to damage and
@@ -60,7 +60,7 @@
     Digest,
 }
 
-/// Default size of all files together, in MB.
+/// Default maximum size of all files together, in MB.
 fn ring_mb() -> u64 {
     64
 }
@@ -144,7 +144,7 @@
         Ok(settings)
     }
 
-    /// The limits of the ring, converted to the units that it uses.
+    /// The limits of the ring, converted to the units that [`RingLimits`] uses.
     pub fn limits(&self) -> RingLimits {
         RingLimits {
             ring_bytes: self.ring_mb * BYTES_PER_MB,
--- a/crates/capture/src/settings/tests.rs
+++ b/crates/capture/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Errors of invalid settings name the field or the line.
+//! Tests that errors of invalid settings name the field or the line.
 
 use super::*;
 
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A policy with simulated clients and engines, and a recorder that writes to memory.
+//! Simulation of a policy with clients and engines, and a recorder that writes to memory.
 #![allow(dead_code)]
 
 use sprucelink_capture::reader::{parse, CaptureContents};
@@ -31,7 +31,7 @@
     pub free_bytes: Option<usize>,
     /// Whether the creation of files fails.
     pub is_unwritable: bool,
-    /// Each append waits for this lock.
+    /// Lock that each append waits for; a test holds it to stall the writer.
     pub append_lock: Arc<Mutex<()>>,
 }
 
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -1,5 +1,5 @@
-//! Recorded events replay bit for bit. A recorder that cannot write loses records, which are counted, and
-//! does not disturb the policy.
+//! Tests that recorded events replay bit for bit, and that a recorder that cannot write loses records, counts
+//! them, and does not affect the policy.
 mod common;
 use common::*;
 use sprucelink_capture::cut::{check_case, cut_case, CaseSpan};
@@ -59,7 +59,8 @@
     }
 }
 
-/// A recorded answer is changed in the last bit of one number: the replay reports it, with both answers.
+/// A recorded answer is changed in the last bit of one number: the replay reports the divergence with both
+/// answers.
 #[test]
 fn divergence_is_reported_with_its_record_and_kinds() {
     let (memory, _) = record_simulation(6, 1.0, &recorder_settings());
@@ -157,7 +158,7 @@
     simulation.advance(1.0);
     wait_until(|| memory.bytes().len() > 5_000);
     memory.0.lock().expect("unpoisoned").free_bytes = Some(100);
-    // The writer runs on its own thread: wait until it has met the full disk.
+    // The writer runs on its own thread: wait until one of its writes has failed.
     while simulation.counters().lost == 0 {
         simulation.advance(0.3);
         std::thread::sleep(Duration::from_millis(1));
@@ -295,8 +296,8 @@
     parse(&write(&segment).expect("written"), Path::new("edited")).expect("a readable capture")
 }
 
-/// Covers a build whose floating-point functions round differently, another policy, an older state and a
-/// newer format.
+/// Reads captures of a build whose floating-point functions round differently, of another policy, with an
+/// older state and in a newer format.
 #[test]
 fn captures_of_other_builds_are_read_or_rejected_with_a_reason() {
     let (memory, _) = record_simulation(8, 1.0, &recorder_settings());
