--- a/crates/capture/src/identity.rs
+++ b/crates/capture/src/identity.rs
@@ -13,7 +13,7 @@
 const FLOAT_SAMPLE_STEP: f64 = 0.037;
 
 /// Name, version and target of this program, as segment headers hold them.
-pub fn build() -> String {
+pub fn build_description() -> String {
     format!("sprucelink {} {ARCH}-{OS}", env!("CARGO_PKG_VERSION"))
 }
 
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -118,7 +118,7 @@
         })?;
         let next_header = SegmentHeader {
             format: identity::FORMAT,
-            build: identity::build(),
+            build: identity::build_description(),
             policy_checksum: identity::policy_checksum(),
             float_digest: identity::float_digest(),
             policy_started_at: started_at,
