--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -70,10 +70,12 @@
     /// Whether the statement changes rows or tables, or may change them.
     pub may_write: bool,
     /// Whether the statement locks rows or tables.
-    pub locks: bool,
+    #[serde(rename = "locks")]
+    pub takes_locks: bool,
     /// Whether the statement writes in bulk, or may: INSERT ... SELECT, many rows, COPY, MERGE, CREATE TABLE
     /// AS, TRUNCATE.
-    pub load: bool,
+    #[serde(rename = "load")]
+    pub may_load: bool,
     /// Names of the functions in the statement that are not known to be read-only, sorted.
     pub calls: Vec<String>,
     /// Number of joins, including those by commas.
@@ -83,7 +85,8 @@
     /// Whether the statement sorts rows.
     pub sorts: bool,
     /// Whether the statement has a LIMIT or FETCH clause.
-    pub limit: bool,
+    #[serde(rename = "limit")]
+    pub has_limit: bool,
 }
 
 /// The data set of a schema: the number after the last underscore of its name. `None` if there is no such
--- a/crates/query-fingerprint/src/facts/lexed.rs
+++ b/crates/query-fingerprint/src/facts/lexed.rs
@@ -18,7 +18,7 @@
 pub(super) fn lexed_facts(statement: &str) -> StatementFacts {
     let mut lexed = Vec::new();
     tokens(statement, MAX_LEXED_TOKENS, &mut lexed);
-    let mut facts = StatementFacts { may_write: true, load: true, ..StatementFacts::default() };
+    let mut facts = StatementFacts { may_write: true, may_load: true, ..StatementFacts::default() };
     let tables = qualified_tables(statement, &lexed);
     let data_sets: BTreeSet<u64> = tables.iter().filter_map(|table| data_set(&table.schema)).collect();
     facts.data_sets = data_sets.into_iter().take(MAX_NAMES).collect();
@@ -33,8 +33,8 @@
             "join" => facts.joins += 1,
             "order" if is_next("by") => facts.sorts = true,
             "group" if is_next("by") => facts.aggregates = true,
-            "limit" | "fetch" => facts.limit = true,
-            "for" if is_next("update") || is_next("share") => facts.locks = true,
+            "limit" | "fetch" => facts.has_limit = true,
+            "for" if is_next("update") || is_next("share") => facts.takes_locks = true,
             _ => {}
         }
     }
--- a/crates/query-fingerprint/src/facts/parsed.rs
+++ b/crates/query-fingerprint/src/facts/parsed.rs
@@ -125,7 +125,7 @@
         }
         self.facts.may_write = true;
         if let Some(source) = &insert.source {
-            self.facts.load |= match &*source.body {
+            self.facts.may_load |= match &*source.body {
                 SetExpr::Values(values) => values.rows.len() >= MIN_LOAD_ROWS,
                 _ => true,
             };
@@ -153,14 +153,14 @@
             }
         }
         self.facts.may_write |= !reads_table;
-        self.facts.load |= !reads_table;
+        self.facts.may_load |= !reads_table;
     }
 
     /// Adds a change of a table, view or index. Every relation that was visited so far counts as written.
     fn add_schema_change(&mut self) {
         self.facts.may_write = true;
-        self.facts.locks = true;
-        self.facts.load = true;
+        self.facts.takes_locks = true;
+        self.facts.may_load = true;
         self.written.extend(self.relations.iter().cloned());
     }
 
@@ -181,7 +181,7 @@
         self.facts.writes = writes;
         self.facts.calls = self.calls.into_iter().collect();
         self.facts.may_write |= !self.facts.calls.is_empty() || is_unknown;
-        self.facts.load |= is_unknown;
+        self.facts.may_load |= is_unknown;
         self.facts.is_complete &= !is_unknown;
         Some(self.facts)
     }
@@ -205,7 +205,7 @@
             Statement::Delete(delete) => self.add_delete(delete),
             Statement::Merge(merge) => {
                 self.facts.may_write = true;
-                self.facts.load = true;
+                self.facts.may_load = true;
                 if let TableFactor::Table { name, .. } = &merge.table {
                     self.add_written(name);
                 }
@@ -213,22 +213,22 @@
             Statement::Copy { source, to, .. } => self.add_copy(source, *to),
             Statement::Truncate(truncate) => {
                 self.facts.may_write = true;
-                self.facts.load = true;
-                self.facts.locks = true;
+                self.facts.may_load = true;
+                self.facts.takes_locks = true;
                 for table in &truncate.table_names {
                     self.add_written(&table.name);
                 }
             }
             Statement::CreateTable(create) => {
                 self.add_written(&create.name);
-                self.facts.load |= create.query.is_some();
+                self.facts.may_load |= create.query.is_some();
             }
             Statement::CreateView(_) | Statement::CreateIndex(_) | Statement::AlterTable(_) => {
                 self.add_schema_change();
             }
             Statement::Drop { names, .. } => {
                 self.facts.may_write = true;
-                self.facts.locks = true;
+                self.facts.takes_locks = true;
                 for name in names {
                     self.add_written(name);
                 }
@@ -240,9 +240,9 @@
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
         let facts = &mut self.facts;
-        facts.locks |= !query.locks.is_empty();
+        facts.takes_locks |= !query.locks.is_empty();
         facts.sorts |= query.order_by.is_some();
-        facts.limit |= query.limit_clause.is_some() || query.fetch.is_some();
+        facts.has_limit |= query.limit_clause.is_some() || query.fetch.is_some();
         for cte in query.with.iter().flat_map(|with| &with.cte_tables) {
             self.not_tables.insert(resolved_identifier(&cte.alias.name));
         }
@@ -263,7 +263,7 @@
             let target_name = |target: &Expr| target.to_string().to_lowercase();
             self.written.extend(into.targets.iter().map(target_name));
             self.facts.may_write = true;
-            self.facts.load = true;
+            self.facts.may_load = true;
         }
         ControlFlow::Continue(())
     }
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -60,11 +60,11 @@
 fn flags(facts: &StatementFacts) -> String {
     let flags = [
         (facts.may_write, 'w'),
-        (facts.load, 'l'),
-        (facts.locks, 'k'),
+        (facts.may_load, 'l'),
+        (facts.takes_locks, 'k'),
         (facts.aggregates, 'a'),
         (facts.sorts, 's'),
-        (facts.limit, 'm'),
+        (facts.has_limit, 'm'),
         (facts.joins > 0, 'j'),
     ];
     flags.iter().filter(|(is_set, _)| *is_set).map(|(_, letter)| letter).collect()
@@ -211,7 +211,7 @@
         let altered = format!("{}{inserted}{}", &text[..cut], &text[cut..]);
         Normaliser::default().fingerprint(&altered);
         let facts = read_statement(&altered);
-        prop_assert!(facts.is_complete || facts.may_write && facts.load, "an unknown statement counts as a load");
+        prop_assert!(facts.is_complete || facts.may_write && facts.may_load, "an unknown statement counts as a load");
     }
 }
 
--- a/src/run/commands/shapes_explain.rs
+++ b/src/run/commands/shapes_explain.rs
@@ -36,11 +36,11 @@
 fn properties(facts: &StatementFacts) -> Vec<String> {
     let properties = [
         (facts.may_write, "may write"),
-        (facts.load, "may load"),
-        (facts.locks, "locks"),
+        (facts.may_load, "may load"),
+        (facts.takes_locks, "locks"),
         (facts.aggregates, "aggregates"),
         (facts.sorts, "sorts"),
-        (facts.limit, "limits its rows"),
+        (facts.has_limit, "limits its rows"),
     ];
     properties.iter().filter(|(holds, _)| *holds).map(|(_, name)| (*name).to_owned()).collect()
 }
