--- a/crates/query-fingerprint/src/cache.rs
+++ b/crates/query-fingerprint/src/cache.rs
@@ -44,7 +44,9 @@
 #[derive(Debug)]
 struct Slot<V> {
     value: V,
+    /// Size of the value, as given to [`Cache::put`].
     bytes: usize,
+    /// Number of reads that have not yet delayed an eviction, at most [`MAX_HITS`].
     hits: u8,
     /// Whether the key is in the main queue; otherwise it is in the small queue.
     is_in_main: bool,
@@ -66,7 +68,7 @@
 }
 
 impl<K: Ord + Copy, V> Cache<K, V> {
-    /// An empty cache.
+    /// Creates an empty cache, which never exceeds `bounds`.
     pub fn new(bounds: Bounds) -> Cache<K, V> {
         Cache {
             bounds,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The value of a key. It counts as a read, which delays the eviction of the entry.
+    /// The value of a key. The call counts as a read, which delays the eviction of the entry.
     pub fn get(&mut self, key: K) -> Option<&mut V> {
         let slot = self.slots.get_mut(&key);
         match slot {
@@ -119,7 +121,7 @@
             self.slots.insert(key, Slot { value, bytes, hits: 0, is_in_main });
         }
         while self.slots.len() > self.bounds.entries || self.bytes > self.bounds.bytes {
-            self.evict();
+            self.step_eviction();
         }
         self.slots.contains_key(&key)
     }
@@ -134,18 +136,18 @@
         Counters { entries: self.slots.len(), bytes: self.bytes, ..self.counters }
     }
 
-    /// Takes one step towards an eviction: evicts an entry, or moves an entry that was read to the back of
-    /// the main queue.
-    fn evict(&mut self) {
+    /// Takes one step towards an eviction: takes the oldest entry of a queue, and evicts it unless it has been
+    /// read; a read entry is put at the back of the main queue.
+    fn step_eviction(&mut self) {
         let max_small = (self.bounds.entries as f64 * SMALL_QUEUE_FRACTION).max(1.0) as usize;
         if self.small_queue.len() > max_small || self.main_queue.is_empty() {
-            self.evict_from_small();
+            self.step_small_queue();
         } else {
-            self.evict_from_main();
+            self.step_main_queue();
         }
     }
 
-    fn evict_from_small(&mut self) {
+    fn step_small_queue(&mut self) {
         let Some(key) = self.small_queue.pop_front() else { return };
         let Some(slot) = self.slots.get_mut(&key) else { return };
         if slot.hits > 0 {
@@ -174,7 +176,7 @@
         }
     }
 
-    fn evict_from_main(&mut self) {
+    fn step_main_queue(&mut self) {
         let Some(key) = self.main_queue.pop_front() else { return };
         match self.slots.get_mut(&key) {
             Some(slot) if slot.hits > 0 => {
--- a/crates/query-fingerprint/src/cache/tests.rs
+++ b/crates/query-fingerprint/src/cache/tests.rs
@@ -1,4 +1,4 @@
-//! The bounds and the internal consistency of the cache after each operation.
+//! Tests that the cache is within its bounds and internally consistent after each operation.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/query-fingerprint/src/cost.rs
+++ b/crates/query-fingerprint/src/cost.rs
@@ -26,19 +26,20 @@
 /// Maximum factor between an answer and the estimate or mean with which it is compared. A larger factor is an
 /// error of the reporter and is clamped.
 const MAX_FACTOR: f64 = 1e4;
-/// Maximum absolute value of the logarithm of an estimate.
+/// Maximum absolute value of the natural logarithm of an estimate, so that the estimate is finite.
 const MAX_LOG: f64 = 50.0;
 /// Minimum work in milliseconds and memory in MB; smaller values are raised to it before the logarithm is
 /// taken.
 const MIN_COST: f64 = 1e-3;
-/// Approximate size of one entry, in bytes.
+/// Approximate size of one learned cost in the cache, in bytes.
 const ENTRY_BYTES: usize = 256;
 
 /// A running mean of logarithms, robust to outliers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct RobustMean {
     mean: f64,
-    /// Running mean of the absolute deviations, each of which is clamped.
+    /// Running mean of the absolute deviations from the mean, each clamped to twice the deviation that counts
+    /// in full.
     spread: f64,
     /// Number of answers, discounted by age.
     weight: f64,
@@ -104,13 +105,13 @@
 pub struct Key {
     /// The fingerprint of the statement.
     pub fingerprint: Fingerprint,
-    /// Class of the request.
+    /// Index of the request's class, in the order of the costs given to [`Costs::new`].
     pub class: u16,
     /// Whether the data set was expected to be warm on the engine.
     pub warm: bool,
 }
 
-/// Cost of a statement.
+/// Cost of one execution of a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
     /// Work in milliseconds on one core.
@@ -135,7 +136,7 @@
 /// An expected cost, and the number of answers on which it is based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// Expected cost.
+    /// Expected cost of one execution.
     pub cost: Cost,
     /// Number of answers for the fingerprint, discounted by age; 0 if the estimate is based on the class
     /// alone.
--- a/crates/query-fingerprint/src/facts.rs
+++ b/crates/query-fingerprint/src/facts.rs
@@ -1,5 +1,5 @@
 //! Facts of a statement: its kind, the tables and data sets that it reads and writes, and the effects that it
-//! may have. They come from the parser of `sqlparser`, within bounds. A statement that it cannot parse
+//! may have. The parser of `sqlparser` determines them, within bounds. A statement that it cannot parse
 //! completely is of unknown kind, has the facts that the lexer finds, and is assumed to write and to load in
 //! bulk.
 
@@ -27,25 +27,25 @@
 /// unknown.
 const MAX_NAMES: usize = 64;
 
-/// The kind of a statement.
+/// The kind of a statement, by its main effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StatementKind {
-    /// Reads rows.
+    /// The statement reads rows.
     Select,
-    /// Inserts rows.
+    /// The statement inserts rows.
     Insert,
-    /// Changes rows.
+    /// The statement changes rows.
     Update,
-    /// Deletes rows.
+    /// The statement deletes rows.
     Delete,
-    /// Inserts, updates or deletes each row by a condition.
+    /// The statement inserts, updates or deletes each row by a condition.
     Merge,
-    /// Transfers rows in bulk.
+    /// The statement transfers rows in bulk.
     Copy,
-    /// Creates, changes or drops tables, views or indexes, or truncates tables.
+    /// The statement creates, changes or drops tables, views or indexes, or truncates tables.
     Ddl,
-    /// Neither reads nor writes rows: SET, SHOW, EXPLAIN.
+    /// The statement neither reads nor writes rows: SET, SHOW, EXPLAIN.
     Utility,
     /// The parser could not parse the statement completely.
     #[default]
@@ -55,7 +55,7 @@
 /// The facts of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StatementFacts {
-    /// Kind of the statement.
+    /// Kind of the statement; unknown if `is_complete` is false.
     pub kind: StatementKind,
     /// Whether the parser parsed the statement completely; otherwise the other fields hold only what the
     /// lexer found.
@@ -78,7 +78,7 @@
     pub may_load: bool,
     /// Names of the functions in the statement that are not known to be read-only, sorted.
     pub calls: Vec<String>,
-    /// Number of joins, including those by commas.
+    /// Number of joins, including those by commas in a FROM list.
     pub joins: u32,
     /// Whether the statement groups or aggregates rows.
     pub aggregates: bool,
--- a/crates/query-fingerprint/src/normal.rs
+++ b/crates/query-fingerprint/src/normal.rs
@@ -10,8 +10,8 @@
 /// Maximum length of a text that is normalised, in bytes: the longest statement that clients may send is
 /// shorter.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
-/// Maximum number of tokens that are normalised: a text with more has the fingerprint of its beginning, and
-/// its facts are unknown.
+/// Maximum number of tokens that are normalised: a text with more tokens has the fingerprint of its
+/// beginning, and its facts are unknown.
 pub const MAX_TOKENS: usize = 16 * 1024;
 
 /// The fingerprint of a statement: XXH3-64 of its normal form.
@@ -90,7 +90,7 @@
         Fingerprint(xxh3_64(self.text.as_bytes()))
     }
 
-    /// Normal form of the last statement.
+    /// Normal form of the last statement given to [`Normaliser::fingerprint`]; empty before the first one.
     pub fn text(&self) -> &str {
         &self.text
     }
@@ -239,10 +239,10 @@
             return Some(*number);
         }
     }
-    let is_of_derived =
+    let is_column_of_sub_select =
         is_qualified && index >= 2 && aliases.derived.contains(&plain_name(parts[index - 2].raw));
     let is_sort_or_group_key = may_use_column_aliases && !is_qualified && !is_call && !is_qualifier;
-    if is_of_derived || is_sort_or_group_key {
+    if is_column_of_sub_select || is_sort_or_group_key {
         return aliases.columns.get(name).copied();
     }
     None
--- a/crates/query-fingerprint/src/normal/aliases.rs
+++ b/crates/query-fingerprint/src/normal/aliases.rs
@@ -3,7 +3,7 @@
 use super::{plain_name, SourceToken, TABLE_KEYWORDS};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of aliases of one statement that are replaced by numbers; further ones keep their names.
+/// Maximum number of aliases of one statement that are replaced by numbers; further aliases keep their names.
 const MAX_ALIASES: usize = 64;
 
 /// Keywords that may follow a table in a FROM list and are not an alias.
@@ -75,7 +75,7 @@
 /// Keywords after WITH that are not the name of a common table expression.
 const NOT_CTE_NAMES: &[&str] = &["time", "local", "cascaded", "check", "ordinality", "no", "ties"];
 
-/// Keywords after AS that begin a sub-select or a hint and are not an alias.
+/// Keywords that may follow AS and are not an alias: those that begin a statement, and [NOT] MATERIALIZED.
 const NOT_ALIASES_AFTER_AS: &[&str] =
     &["materialized", "not", "select", "with", "values", "insert", "update", "delete", "merge"];
 /// Functions in whose arguments AS is followed by a type.
@@ -213,7 +213,8 @@
         self.open_casts.last().is_some_and(|is_cast| *is_cast)
     }
 
-    /// Closes a bracket. In a FROM list the alias of a sub-select or function follows it.
+    /// Handles a closing bracket, which the alias of a sub-select or function may follow in a FROM list.
+    /// Returns the index of the last token handled.
     fn close_bracket(&mut self, index: usize) -> usize {
         self.open_casts.pop();
         if self.in_from.len() > 1 {
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Whether a common table expression follows the token at `index`, which is WITH or the comma between two
-    /// of them.
+    /// Whether the token at `index` is followed by a common table expression: it is WITH, or the comma between
+    /// two such expressions.
     fn begins_cte(&self, index: usize) -> bool {
         let part = &self.parts[index];
         let is_with = part.is_word("with")
@@ -238,7 +239,8 @@
         is_with || part.is_symbol(",") && self.is_cte_at(index + 1)
     }
 
-    /// Whether a common table expression begins at `index`: a name, optional columns, AS and a bracket.
+    /// Whether a common table expression begins at `index`: a name, optional columns, AS, and a bracket or
+    /// [NOT] MATERIALIZED.
     fn is_cte_at(&self, index: usize) -> bool {
         if !self.parts.get(index).is_some_and(SourceToken::is_name) {
             return false;
@@ -250,9 +252,10 @@
             }
             position += 1;
         }
-        let is_body = |part: &SourceToken| part.is_symbol("(") || part.is_any_of(&["materialized", "not"]);
+        let begins_body =
+            |part: &SourceToken| part.is_symbol("(") || part.is_any_of(&["materialized", "not"]);
         self.parts.get(position).is_some_and(|part| part.is_word("as"))
-            && self.parts.get(position + 1).is_some_and(is_body)
+            && self.parts.get(position + 1).is_some_and(begins_body)
     }
 
     fn add_cte(&mut self, index: usize) {
@@ -263,7 +266,8 @@
         }
     }
 
-    /// Adds the alias after AS: in a FROM list it belongs to a sub-select, elsewhere to a column.
+    /// Adds the alias after AS: in a FROM list the alias is that of a sub-select, elsewhere that of a column.
+    /// Returns the index of the last token handled.
     fn add_explicit_alias(&mut self, index: usize) -> usize {
         let next =
             self.parts.get(index + 1).filter(|next| next.is_name() && !next.is_any_of(NOT_ALIASES_AFTER_AS));
@@ -276,8 +280,8 @@
         index + 1
     }
 
-    /// Skips the name of a table that begins at `start` and adds the alias after it. Returns the index after
-    /// both.
+    /// Skips the name of a table that begins at `start` and adds the alias after the name. Returns the index
+    /// after the name and the alias.
     fn add_table_alias(&mut self, start: usize) -> usize {
         let parts = self.parts;
         let mut index = start;
--- a/crates/query-fingerprint/src/retry_guard.rs
+++ b/crates/query-fingerprint/src/retry_guard.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeclaredEffect {
-    /// Safe to repeat.
+    /// The request is safe to repeat.
     Safe,
-    /// Engines drop repeats with the same idempotency key.
+    /// Engines ignore repetitions of a request with the same idempotency key.
     Keyed,
     /// The request must never run twice.
     Unsafe,
@@ -32,15 +32,15 @@
     Refuse,
 }
 
-/// Decision how often a statement may be sent.
+/// Decision on how often a statement may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryDecision {
-    /// As often as its class declares.
+    /// The statement may be sent as often as its class declares.
     AsDeclared,
-    /// At most once.
+    /// The statement may be sent at most once.
     Once,
-    /// Never: the statement is rejected.
+    /// The statement is rejected before it is sent.
     Refuse,
 }
 
@@ -53,8 +53,8 @@
 ) -> RetryDecision {
     match (declared, facts.may_write, on_mismatch) {
         (DeclaredEffect::Safe, true, OnMismatch::Once) => RetryDecision::Once,
-        // Only a statement that certainly may write is rejected; one that could not be parsed is sent at most
-        // once.
+        // Only a statement whose parsed form may write is rejected; a statement that could not be parsed is
+        // sent at most once.
         (DeclaredEffect::Safe, true, OnMismatch::Refuse) if facts.is_complete => RetryDecision::Refuse,
         (DeclaredEffect::Safe, true, OnMismatch::Refuse) => RetryDecision::Once,
         _ => RetryDecision::AsDeclared,
--- a/crates/query-fingerprint/src/statement_cache.rs
+++ b/crates/query-fingerprint/src/statement_cache.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::rc::Rc;
 
-/// Maximum length of a stored normal form, in bytes. Longer ones are truncated, since they are only
+/// Maximum length of a stored normal form, in bytes. Longer normal forms are truncated, since they are only
 /// displayed.
 const MAX_STORED_TEXT_BYTES: usize = 1_024;
 /// Approximate size of an entry in slots, queues, ghosts and vectors without its strings, in bytes.
@@ -55,8 +55,8 @@
         StatementCache { normaliser: Normaliser::default(), cache: Cache::new(bounds) }
     }
 
-    /// The fingerprint and facts of a statement. A cached one costs only one pass over the bytes of the
-    /// statement; otherwise the statement is analysed.
+    /// The fingerprint and facts of a statement. If they are cached, the call takes only one pass over the
+    /// bytes of the statement; otherwise the statement is analysed.
     pub fn get_or_read(&mut self, statement: &str) -> Rc<FingerprintedStatement> {
         let fingerprint = self.normaliser.fingerprint(statement);
         let is_complete = self.normaliser.is_complete();
@@ -81,7 +81,7 @@
         entry
     }
 
-    /// Counters of the cache.
+    /// Counters of the cache since its creation, and its current size.
     pub fn counters(&self) -> Counters {
         self.cache.counters()
     }
--- a/crates/query-fingerprint/tests/cache.rs
+++ b/crates/query-fingerprint/tests/cache.rs
@@ -1,4 +1,5 @@
-//! Resistance of the S3-FIFO cache to scans, and entries that exceed its bounds.
+//! Tests that a scan does not evict the used entries of the S3-FIFO cache, and that an entry that exceeds the
+//! cache's bound in bytes is not stored.
 
 use sprucelink_query_fingerprint::cache::{Bounds, Cache};
 
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! The statements of `corpus.txt` have the expected facts, all spellings of a statement have the same
-//! fingerprint, and different statements have different fingerprints.
+//! Tests that the statements of `corpus.txt` have the expected facts, that all spellings of a statement have
+//! the same fingerprint, and that different statements have different fingerprints.
 
 use proptest::prelude::*;
 use sprucelink_query_fingerprint::facts::{
--- a/crates/query-fingerprint/tests/cost.rs
+++ b/crates/query-fingerprint/tests/cost.rs
@@ -1,5 +1,5 @@
-//! Learned costs: shrinkage to the mean of the class, outliers, lasting changes, biased estimates, ageing and
-//! invalid input.
+//! Tests of learned costs: shrinkage to the mean of the class, outliers, lasting changes, biased estimates,
+//! ageing and invalid input.
 
 use sprucelink_query_fingerprint::cost::{Cost, Costs, Key};
 use sprucelink_query_fingerprint::normal::Fingerprint;
--- a/crates/query-fingerprint/tests/retry_guard.rs
+++ b/crates/query-fingerprint/tests/retry_guard.rs
@@ -1,4 +1,4 @@
-//! Decisions of the retry guard for statements that read, that write and that cannot be parsed.
+//! Tests of the retry guard's decisions for statements that read, that write and that cannot be parsed.
 
 use sprucelink_query_fingerprint::facts::read_statement;
 use sprucelink_query_fingerprint::retry_guard::{decide_retry, DeclaredEffect, OnMismatch, RetryDecision};
--- a/crates/query-fingerprint/tests/statement_cache.rs
+++ b/crates/query-fingerprint/tests/statement_cache.rs
@@ -1,4 +1,4 @@
-//! The statement cache with many distinct statements and with a skewed sequence of statements.
+//! Tests of the statement cache with many distinct statements and with a skewed sequence of statements.
 
 use sprucelink_query_fingerprint::cache::Bounds;
 use sprucelink_query_fingerprint::statement_cache::StatementCache;
@@ -27,8 +27,8 @@
     assert!(after.hits - before.hits >= 1_990, "{} of 2,000", after.hits - before.hits);
 }
 
-/// In a skewed sequence of 100,000 statements a fifth are sent only once. More than 99% of the others must be
-/// hits, not counting the first occurrence of each form.
+/// In a skewed sequence of 100,000 statements a fifth are sent only once. More than 99% of the remaining
+/// statements must be hits, not counting the first occurrence of each form.
 #[test]
 fn skewed_sequence_with_one_off_statements_has_a_high_hit_rate() {
     let mut statements = StatementCache::new(Bounds { entries: 1_024, bytes: 4 << 20 });
