--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -1,5 +1,5 @@
 //! Measures the cost of checks: `cargo run --release -p sprucelink-schema-compat --example measure`. Each
-//! figure is the minimum of several runs, because other load on the machine lengthens the rest.
+//! figure is the minimum of several runs, because other load on the machine lengthens some of them.
 
 use sprucelink_schema_compat::check::{check, Directions};
 use sprucelink_schema_compat::rules::Direction;
@@ -14,9 +14,9 @@
 /// Number of subscribers: the registry's limit.
 const SUBSCRIBERS: u32 = 4_096;
 
-/// A record of 200 fields in ten messages; each version adds a field, the last one adds an enum value that
-/// old readers need translated.
-fn text(version: u32, last: bool) -> String {
+/// The schema of a record of 200 fields in ten messages. Each version adds a field; the last version also adds
+/// an enum value that must be translated for old readers.
+fn schema_text(version: u32, last: bool) -> String {
     let mut text =
         "syntax = \"proto3\"; package m; import \"sprucelink/compat.proto\";\nmessage R {\n".to_string();
     for part in 0..10 {
@@ -63,9 +63,9 @@
     line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).unwrap_or(0)
 }
 
-/// A lease that outlives the measurements, in milliseconds.
+/// Duration of subscriptions' leases, in milliseconds; the registry's time never advances so far.
 const LEASE_MS: u64 = 60_000;
-/// The publisher of all schemas.
+/// Name of the publisher of all schemas.
 const PUBLISHER: &str = "p";
 
 fn propose(schema: &Schema) -> RegistryCommand {
@@ -105,7 +105,7 @@
 
 fn measure_schemas(first: &Schema, last: &Schema) {
     println!("schema: {} bytes of descriptors", first.to_set().len());
-    println!("compile its text: {:?}", shortest_of(20, || Schema::from_text(&text(0, false))));
+    println!("compile its text: {:?}", shortest_of(20, || Schema::from_text(&schema_text(0, false))));
     println!("read its descriptors: {:?}", shortest_of(20, || Schema::from_set(first.to_set())));
     let before = resident_kb();
     let copies: Vec<Schema> = (0..256).filter_map(|_| Schema::from_set(first.to_set()).ok()).collect();
@@ -141,7 +141,8 @@
 }
 
 fn main() {
-    let versions = (0..=VERSIONS).map(|version| Schema::from_text(&text(version, version == VERSIONS)));
+    let versions =
+        (0..=VERSIONS).map(|version| Schema::from_text(&schema_text(version, version == VERSIONS)));
     let schemas: Vec<Schema> = versions.filter_map(Result::ok).collect();
     let first = &schemas[0];
     let last = &schemas[VERSIONS as usize];
