--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -148,7 +148,7 @@
     let last = &schemas[VERSIONS as usize];
     measure_schemas(first, last);
     measure_registry(full_registry(&schemas), last);
-    let translation = Translation::between(last, first, Direction::Down);
+    let translation = Translation::between(last, first, Direction::NewToOld);
     if let Some(record) = sample(last, "m.R", 1) {
         println!("a record of 200 fields translated: {:?}", shortest_of(200, || translation.run(&record)));
     }
--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -14,19 +14,19 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Directions {
     /// Checks records of the new version against readers of the old one: publishers are upgraded first.
-    pub down: bool,
+    pub new_to_old: bool,
     /// Checks records of the old version against readers of the new one: history is replayed, or old
     /// publishers continue beside new ones.
-    pub up: bool,
+    pub old_to_new: bool,
 }
 
 impl Directions {
     /// Checks both directions.
-    pub const BOTH: Self = Self { down: true, up: true };
+    pub const BOTH: Self = Self { new_to_old: true, old_to_new: true };
     /// Checks new writers against old readers only.
-    pub const DOWN: Self = Self { down: true, up: false };
+    pub const NEW_TO_OLD: Self = Self { new_to_old: true, old_to_new: false };
     /// Checks old writers against new readers only.
-    pub const UP: Self = Self { down: false, up: true };
+    pub const OLD_TO_NEW: Self = Self { new_to_old: false, old_to_new: true };
 }
 
 /// The result of a compatibility check.
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug)]
 pub struct Translations {
     /// Translates records of the new version into the old one.
-    pub down: Translation,
+    pub new_to_old: Translation,
     /// Translates records of the old version into the new one.
-    pub up: Translation,
+    pub old_to_new: Translation,
 }
 
 /// The highest severity of the findings; [`Severity::Note`] if there are none.
@@ -77,8 +77,8 @@
     match worst_severity(&findings) {
         Severity::Note => Compatibility::Compatible,
         Severity::Translate => Compatibility::Translatable(Box::new(Translations {
-            down: Translation::between(new, old, Direction::Down),
-            up: Translation::between(old, new, Direction::Up),
+            new_to_old: Translation::between(new, old, Direction::NewToOld),
+            old_to_new: Translation::between(old, new, Direction::OldToNew),
         })),
         Severity::Break => Compatibility::Rejected(breaking_findings(findings)),
     }
@@ -93,12 +93,12 @@
     directions: Directions,
 ) -> Vec<Finding> {
     let mut findings = history_findings(&[old], new);
-    if directions.down {
-        findings.extend(reader_findings(new, old, usage, Direction::Down));
+    if directions.new_to_old {
+        findings.extend(reader_findings(new, old, usage, Direction::NewToOld));
     }
-    if directions.up {
+    if directions.old_to_new {
         let new_usage = ReaderUsage { paths: None, ..usage.clone() };
-        findings.extend(reader_findings(old, new, &new_usage, Direction::Up));
+        findings.extend(reader_findings(old, new, &new_usage, Direction::OldToNew));
     }
     findings
 }
@@ -123,7 +123,8 @@
     let mut findings = findings_for_usage(&pair, &reader.model, usage);
     if worst_severity(&findings) == Severity::Translate {
         let translation = Translation::from_comparison(&pair, reader);
-        let opposite = if direction == Direction::Down { Direction::Up } else { Direction::Down };
+        let opposite =
+            if direction == Direction::NewToOld { Direction::OldToNew } else { Direction::NewToOld };
         let inverse = Translation::between(reader, writer, opposite);
         findings.extend(test_translation(&translation, &inverse, writer, direction));
     }
--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -14,7 +14,7 @@
     to: &Field,
     differences: &mut DifferenceList,
 ) {
-    let down = direction == Direction::Down;
+    let down = direction == Direction::NewToOld;
     let or_unbounded = |bound: Option<String>| bound.unwrap_or_else(|| "unbounded".into());
     let (low, high) = match from.integer_range() {
         Some((low, high)) => (Some(low), Some(high)),
--- a/crates/schema-compat/src/comparison/context.rs
+++ b/crates/schema-compat/src/comparison/context.rs
@@ -43,7 +43,7 @@
     /// former one.
     fn is_same_field(&self, writer: &Field, reader: &Field) -> bool {
         match self.direction {
-            Direction::Down => writer.has_or_had_name(&reader.name),
+            Direction::NewToOld => writer.has_or_had_name(&reader.name),
             _ => reader.has_or_had_name(&writer.name),
         }
     }
@@ -52,7 +52,7 @@
     /// former.
     pub(crate) fn counterpart<'m>(&self, writer: &'m Message, reader: &Field) -> Option<&'m Field> {
         let is_renumbered = |field: &&Field| match self.direction {
-            Direction::Down => field.former_numbers.contains(&reader.number),
+            Direction::NewToOld => field.former_numbers.contains(&reader.number),
             _ => reader.former_numbers.contains(&field.number),
         };
         let by_number = writer.fields.get(&reader.number).filter(|field| self.is_same_field(field, reader));
--- a/crates/schema-compat/src/comparison/enum_values.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -26,7 +26,7 @@
     let mut comparison = EnumComparison {
         writer: &context.writer.enums[writer],
         reader: &context.reader.enums[reader],
-        writer_is_newer: context.direction == Direction::Down,
+        writer_is_newer: context.direction == Direction::NewToOld,
         differences,
         replacements: Vec::new(),
     };
--- a/crates/schema-compat/src/comparison/field.rs
+++ b/crates/schema-compat/src/comparison/field.rs
@@ -79,7 +79,7 @@
     }
     let unused = if to.required { Impact::Break } else { Impact::Nothing };
     let (rule, replacement) = match context.direction {
-        Direction::Down => (Rule::FieldRemovedInUse, writer.removed.get(&to.name)),
+        Direction::NewToOld => (Rule::FieldRemovedInUse, writer.removed.get(&to.name)),
         _ => (Rule::FieldNeededMissing, to.old_reads_as.as_ref()),
     };
     match replacement {
@@ -92,7 +92,7 @@
                 format!("reads as {text}, as declared"),
             );
         }
-        None if context.direction == Direction::Down => {
+        None if context.direction == Direction::NewToOld => {
             differences.add(
                 rule,
                 Impact::Break,
--- a/crates/schema-compat/src/comparison/mod.rs
+++ b/crates/schema-compat/src/comparison/mod.rs
@@ -71,7 +71,7 @@
 fn compare_record(context: &mut ComparisonContext, reader: usize) -> RecordComparison {
     let read = &context.reader.messages[reader];
     let written = context.writer.message_named(&read.name).or_else(|| match context.direction {
-        Direction::Down => {
+        Direction::NewToOld => {
             let had_name = |one: &usize| context.writer.messages[*one].former_names.contains(&read.name);
             context.writer.roots.iter().copied().find(had_name)
         }
@@ -82,7 +82,7 @@
         differences.push(Difference { rule, used, unused: Impact::Note, element: None, detail })
     };
     let Some(written) = written else {
-        if context.direction == Direction::Down {
+        if context.direction == Direction::NewToOld {
             let simple_name = |name: &str| name.rsplit('.').next().unwrap_or_default().to_string();
             let written_names = context.writer.roots.iter().map(|&one| &context.writer.messages[one].name);
             match written_names.clone().find(|name| simple_name(name) == simple_name(&read.name)) {
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -79,7 +79,7 @@
         if !self.readers(&name).any(|(_, other)| other.version == version && other.usage == usage) {
             let mut violations = ViolationSet::default();
             // The subscriber's own version is checked as well: the declared paths must exist in it.
-            violations.add(&reader_findings(reader, reader, &usage, Direction::Down), &[&subscriber]);
+            violations.add(&reader_findings(reader, reader, &usage, Direction::NewToOld), &[&subscriber]);
             for (written, writer) in publisher.written_versions().filter(|(written, _)| *written != version) {
                 let findings = reader_findings(&writer.schema, reader, &usage, direction(written, version));
                 violations.add(&findings, &[&format!("{subscriber} reading records of version {written}")]);
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -97,7 +97,7 @@
         if replayed {
             let usage = ReaderUsage::all().tolerant();
             for (&old, writer) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let findings = reader_findings(&writer.schema, schema, &usage, Direction::Up);
+                let findings = reader_findings(&writer.schema, schema, &usage, Direction::OldToNew);
                 let readers = format!("readers of version {version} reading records of version {old}");
                 violations.add(&findings, &[&readers]);
             }
--- a/crates/schema-compat/src/registry/translations.rs
+++ b/crates/schema-compat/src/registry/translations.rs
@@ -60,8 +60,8 @@
 /// The direction between a writer's and a reader's version: which of them is newer.
 pub(crate) fn direction(writer: u32, reader: u32) -> Direction {
     if writer >= reader {
-        Direction::Down
+        Direction::NewToOld
     } else {
-        Direction::Up
+        Direction::OldToNew
     }
 }
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -99,9 +99,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Direction {
     /// The newer version writes, the older reads.
-    Down,
+    NewToOld,
     /// The older version writes (or wrote), the newer reads.
-    Up,
+    OldToNew,
     /// The new schema is checked against all earlier ones, whoever reads.
     History,
 }
@@ -111,8 +111,8 @@
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Direction::Down => "down",
-            Direction::Up => "up",
+            Direction::NewToOld => "down",
+            Direction::OldToNew => "up",
             Direction::History => "history",
         }
     }
--- a/crates/schema-compat/tests/common/mod.rs
+++ b/crates/schema-compat/tests/common/mod.rs
@@ -54,8 +54,8 @@
         let schemas: Vec<Schema> = self.bodies.iter().map(|body| schema(body)).collect();
         let (new, old) = schemas.split_last().unwrap();
         let mut findings = match self.direction.as_str() {
-            "down" => check_findings(&old[0], new, &self.usage, Directions::DOWN),
-            "up" => check_findings(&old[0], new, &self.usage, Directions::UP),
+            "down" => check_findings(&old[0], new, &self.usage, Directions::NEW_TO_OLD),
+            "up" => check_findings(&old[0], new, &self.usage, Directions::OLD_TO_NEW),
             _ => return history_findings(&old.iter().collect::<Vec<_>>(), new),
         };
         // The history rules have cases of their own.
--- a/crates/schema-compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -74,7 +74,7 @@
         let record = "message R { option (m).record = true; M0 first = 1; }\n";
         schema(&(record.to_string() + &(0..size).map(message).collect::<String>()))
     };
-    let found = check_findings(&cycle(64), &cycle(67), &ReaderUsage::all(), Directions::DOWN);
+    let found = check_findings(&cycle(64), &cycle(67), &ReaderUsage::all(), Directions::NEW_TO_OLD);
     assert!(found.iter().any(|finding| finding.rule == Rule::BoundExceeded), "{found:?}");
     let found = check_findings(&cycle(8), &cycle(9), &ReaderUsage::all(), Directions::BOTH);
     assert_eq!(verdict(&found), "compatible", "{found:?}");
@@ -134,7 +134,7 @@
     ];
     let verdict_with = |declared: &[MigrationDeclaration]| {
         let new = new.clone().declare(declared).unwrap();
-        verdict(&check_findings(&old, &new, &ReaderUsage::all(), Directions::DOWN))
+        verdict(&check_findings(&old, &new, &ReaderUsage::all(), Directions::NEW_TO_OLD))
     };
     assert_eq!(verdict_with(&declared), "translatable");
     for left_out in 0..declared.len() {
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -35,11 +35,11 @@
 /// Checks a change in one direction, without the history rules, which apply whatever a reader receives.
 fn check_pair(old: &GeneratedSchema, new: &GeneratedSchema, usage: &ReaderUsage, down: bool) -> Pair {
     let (old, new) = (schema(&old.body()), schema(&new.body()));
-    let directions = if down { Directions::DOWN } else { Directions::UP };
+    let directions = if down { Directions::NEW_TO_OLD } else { Directions::OLD_TO_NEW };
     let mut findings = check_findings(&old, &new, usage, directions);
     findings.retain(|one| one.direction != Direction::History);
     let (writer, reader) = if down { (new, old) } else { (old, new) };
-    Pair { writer, reader, findings, direction: if down { Direction::Down } else { Direction::Up } }
+    Pair { writer, reader, findings, direction: if down { Direction::NewToOld } else { Direction::OldToNew } }
 }
 
 /// Whether a finding needs no witness: it is not a break, or the break lies in the field's declaration and
@@ -132,8 +132,8 @@
         if verdict == Severity::Break {
             return Ok(());
         }
-        let down_translation = Translation::between(&down.writer, &down.reader, Direction::Down);
-        let up_translation = Translation::between(&up.writer, &up.reader, Direction::Up);
+        let down_translation = Translation::between(&down.writer, &down.reader, Direction::NewToOld);
+        let up_translation = Translation::between(&up.writer, &up.reader, Direction::OldToNew);
         for seed in 0..8 {
             let record = sample(&down.writer, "t.Top", seed).unwrap();
             let fail =
--- a/crates/schema-compat/tests/translate.rs
+++ b/crates/schema-compat/tests/translate.rs
@@ -28,7 +28,7 @@
 #[test]
 fn each_conversion_gives_the_expected_value() {
     let (old, new) = (schema(OLD), schema(NEW));
-    let verdict = check(&old, &new, &ReaderUsage::all(), Directions::DOWN);
+    let verdict = check(&old, &new, &ReaderUsage::all(), Directions::NEW_TO_OLD);
     let Compatibility::Translatable(translations) = verdict else { panic!("{verdict:?}") };
     let leaf = record(&new, "t.In", &[("e", Value::EnumNumber(2)), ("fresh", Value::Bytes(vec![9].into()))]);
     let inner = record(&new, "t.In", &[("below", Value::Message(leaf.clone()))]);
@@ -43,7 +43,7 @@
         ("fresh", Value::String("new".into())),
     ];
     let written = record(&new, "t.S", &fields);
-    let read = translations.down.run(&written).unwrap().unwrap();
+    let read = translations.new_to_old.run(&written).unwrap().unwrap();
     assert_eq!(read.get_field_by_name("a").unwrap().as_i32(), Some(5));
     assert_eq!(read.get_field_by_name("gone").unwrap().as_i32(), Some(-7));
     assert_eq!(*read.get_field_by_name("m").unwrap(), map(MapKey::I64(-1), Value::I64(-2)));
@@ -59,7 +59,7 @@
     let entry = read.get_field_by_name("ins").unwrap().as_map().unwrap()[&MapKey::String("k".into())].clone();
     assert_eq!(entry.as_message().unwrap().get_field_by_name("e").unwrap().as_enum_number(), Some(1));
     // Fields unknown to the old version are preserved at every depth.
-    let back = translations.up.run(&read).unwrap().unwrap();
+    let back = translations.old_to_new.run(&read).unwrap().unwrap();
     assert_eq!(back.get_field_by_name("fresh").unwrap().as_str(), Some("new"));
     assert_eq!(below(&back).get_field_by_name("fresh").unwrap().as_bytes().unwrap()[..], [9]);
     assert_eq!(back.get_field_by_name("b").unwrap().as_i32(), Some(5));
@@ -72,7 +72,7 @@
     // A publisher violates its schema by writing values outside the declared range.
     let old = schema("message R { sint32 a = 1; }");
     let new = schema("message R { int64 a = 1 [(f) = { min: 0 max: 9 }]; }");
-    let translation = Translation::between(&new, &old, Direction::Down);
+    let translation = Translation::between(&new, &old, Direction::NewToOld);
     let run = |number: i64| translation.run(&record(&new, "t.R", &[("a", Value::I64(number))]));
     assert_eq!(run(9).unwrap().unwrap().get_field_by_name("a").unwrap().as_i32(), Some(9));
     assert_eq!(run(1 << 40).unwrap_err().to_string(), "t.R/a: no such value in the reader's type");
