--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::comparison::compare;
 use crate::findings::findings_for_usage;
-use crate::limits::SAMPLES_PER_RECORD;
+use crate::limits::SAMPLES_PER_RECORD_TYPE;
 use crate::rules::{Direction, Finding, Rule, Severity};
 use crate::sample::sample;
 use crate::schema::Schema;
@@ -139,7 +139,7 @@
     direction: Direction,
 ) -> Option<Finding> {
     for name in writer.records() {
-        for seed in 0..SAMPLES_PER_RECORD {
+        for seed in 0..SAMPLES_PER_RECORD_TYPE {
             let Some(record) = sample(writer, name, seed) else { continue };
             let failure = match translation.run(&record) {
                 Ok(None) => None,
--- a/crates/schema-compat/src/limits.rs
+++ b/crates/schema-compat/src/limits.rs
@@ -36,7 +36,7 @@
 /// Maximum bytes of each string in a declaration.
 pub const MAX_DECLARATION_BYTES: usize = 1_024;
 /// Number of sample records of each kind that a translation is run on before it is accepted.
-pub const SAMPLES_PER_RECORD: u64 = 8;
+pub const SAMPLES_PER_RECORD_TYPE: u64 = 8;
 /// Maximum levels of nested messages in a sample: enough to visit a recursive type twice.
 pub const MAX_SAMPLE_DEPTH: usize = 4;
 /// Maximum bytes of a text in a sample, unless its field declares more.
