--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -119,10 +119,10 @@
     usage: &ReaderUsage,
     direction: Direction,
 ) -> Vec<Finding> {
-    let pair = compare(&writer.model, &reader.model, direction);
-    let mut findings = findings_for_usage(&pair, &reader.model, usage);
+    let comparison = compare(&writer.model, &reader.model, direction);
+    let mut findings = findings_for_usage(&comparison, &reader.model, usage);
     if worst_severity(&findings) == Severity::Translate {
-        let translation = Translation::from_comparison(&pair, reader);
+        let translation = Translation::from_comparison(&comparison, reader);
         let opposite =
             if direction == Direction::NewToOld { Direction::OldToNew } else { Direction::NewToOld };
         let inverse = Translation::between(reader, writer, opposite);
--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -14,7 +14,7 @@
     to: &Field,
     differences: &mut DifferenceList,
 ) {
-    let down = direction == Direction::NewToOld;
+    let writer_is_newer = direction == Direction::NewToOld;
     let or_unbounded = |bound: Option<String>| bound.unwrap_or_else(|| "unbounded".into());
     let (low, high) = match from.integer_range() {
         Some((low, high)) => (Some(low), Some(high)),
@@ -23,7 +23,7 @@
     let below_min = to.min.is_some_and(|min| low.is_none_or(|low| low < i128::from(min)));
     let above_max = to.max.is_some_and(|max| high.is_none_or(|high| high > i128::from(max)));
     if below_min || above_max {
-        let rule = if down { Rule::RangeWidened } else { Rule::RangeNarrowed };
+        let rule = if writer_is_newer { Rule::RangeWidened } else { Rule::RangeNarrowed };
         let format_bound = |bound: Option<i128>| or_unbounded(bound.map(|bound| bound.to_string()));
         let detail = format!(
             "{} to {} written, {} to {} read",
@@ -38,7 +38,7 @@
     let above_max_length =
         to.max_length.is_some_and(|high| from.max_length.is_none_or(|written| written > high));
     if below_min_length || above_max_length {
-        let rule = if down { Rule::LengthWidened } else { Rule::LengthNarrowed };
+        let rule = if writer_is_newer { Rule::LengthWidened } else { Rule::LengthNarrowed };
         let format_bound = |bound: Option<u64>| or_unbounded(bound.map(|bound| bound.to_string()));
         let detail = format!(
             "length {} to {} written, {} to {} read",
@@ -119,8 +119,8 @@
         let reader_oneof = &reader.oneofs[oneof];
         differences.differences.push(Difference {
             rule: Rule::OneofMemberUnknown,
-            used: enum_values::unknown_impact(reader_oneof.unknown),
-            unused: Impact::Nothing,
+            impact_if_used: enum_values::unknown_impact(reader_oneof.unknown),
+            impact_if_unused: Impact::Nothing,
             element: Some(reader_oneof.name.clone()),
             detail: format!("{} may be written, its reader does not know it", unknown.name),
         });
--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -9,10 +9,10 @@
     Nothing,
     Note,
     /// A translation for readers of JSON, a note for others.
-    Names,
+    TranslateForJson,
     Translate,
     /// A break for readers that do not tolerate unknown values, a note for others.
-    Intolerant,
+    BreakIfIntolerant,
     Break,
 }
 
@@ -21,9 +21,9 @@
 pub(crate) struct Difference {
     pub(crate) rule: Rule,
     /// The effect on a reader that uses the field.
-    pub(crate) used: Impact,
+    pub(crate) impact_if_used: Impact,
     /// The effect on a reader that decodes the field without using it.
-    pub(crate) unused: Impact,
+    pub(crate) impact_if_unused: Impact,
     /// Name of the enum value or oneof that differs; `None` if the field or message itself differs.
     pub(crate) element: Option<String>,
     pub(crate) detail: String,
@@ -37,7 +37,7 @@
     pub(crate) needed: bool,
     pub(crate) differences: Vec<Difference>,
     /// Index of the pair of messages that the fields hold.
-    pub(crate) child: Option<usize>,
+    pub(crate) child_pair: Option<usize>,
 }
 
 /// A reader's message compared with a writer's.
@@ -58,7 +58,7 @@
     /// The reader's message name.
     pub(crate) reader: String,
     /// Index of the pair of messages.
-    pub(crate) node: Option<usize>,
+    pub(crate) pair: Option<usize>,
     pub(crate) differences: Vec<Difference>,
 }
 
@@ -67,7 +67,7 @@
     pub(crate) direction: Direction,
     pub(crate) roots: Vec<RecordComparison>,
     /// Comparisons by index of the pair of messages.
-    pub(crate) nodes: Vec<MessageComparison>,
+    pub(crate) message_comparisons: Vec<MessageComparison>,
     /// Whether the comparison stopped at a limit, so that the absence of differences proves nothing.
     pub(crate) exceeded: bool,
 }
@@ -79,7 +79,13 @@
 }
 
 impl DifferenceList {
-    pub(crate) fn add(&mut self, rule: Rule, used: Impact, unused: Impact, detail: String) {
-        self.differences.push(Difference { rule, used, unused, element: None, detail });
+    pub(crate) fn add(
+        &mut self,
+        rule: Rule,
+        impact_if_used: Impact,
+        impact_if_unused: Impact,
+        detail: String,
+    ) {
+        self.differences.push(Difference { rule, impact_if_used, impact_if_unused, element: None, detail });
     }
 }
--- a/crates/schema-compat/src/comparison/enum_values.rs
+++ b/crates/schema-compat/src/comparison/enum_values.rs
@@ -12,7 +12,7 @@
     match unknown {
         UnknownValuePolicy::Accepted => Impact::Note,
         UnknownValuePolicy::Rejected => Impact::Break,
-        UnknownValuePolicy::Unstated => Impact::Intolerant,
+        UnknownValuePolicy::Unstated => Impact::BreakIfIntolerant,
     }
 }
 
@@ -49,9 +49,15 @@
 }
 
 impl EnumComparison<'_> {
-    fn add(&mut self, rule: Rule, used: Impact, value: &EnumValue, detail: String) {
+    fn add(&mut self, rule: Rule, impact_if_used: Impact, value: &EnumValue, detail: String) {
         let element = Some(value.name.clone());
-        self.differences.push(Difference { rule, used, unused: Impact::Nothing, element, detail });
+        self.differences.push(Difference {
+            rule,
+            impact_if_used,
+            impact_if_unused: Impact::Nothing,
+            element,
+            detail,
+        });
     }
 
     fn compare_values(&mut self) {
@@ -100,7 +106,12 @@
                 format!("means {} to its writer and {} to its reader", value.meaning, same_value.meaning);
             self.add(Rule::MeaningChanged, Impact::Break, value, detail);
         } else if same_value.name != value.name && !aliases().any(|alias| alias.name == same_value.name) {
-            self.add(Rule::FieldRenamed, Impact::Names, value, format!("read as {}", same_value.name));
+            self.add(
+                Rule::FieldRenamed,
+                Impact::TranslateForJson,
+                value,
+                format!("read as {}", same_value.name),
+            );
         }
     }
 
--- a/crates/schema-compat/src/comparison/field.rs
+++ b/crates/schema-compat/src/comparison/field.rs
@@ -17,14 +17,14 @@
 ) -> (FieldComparison, FieldStep) {
     let mut differences = DifferenceList::default();
     let mut step = FieldStep { from: None, to: to.number, fill: false, conversion: FieldConversion::Keep };
-    let mut child = None;
+    let mut child_pair = None;
     let counterpart = context.counterpart(writer, to);
     match counterpart {
         None => compare_missing(context, writer, to, &mut differences, &mut step),
         Some(from) => {
             step.from = Some(from.number);
             compare_identity(from, to, &mut differences);
-            child = field_values::compare_values(context, from, to, &mut differences, &mut step);
+            child_pair = field_values::compare_values(context, from, to, &mut differences, &mut step);
             if step.conversion != FieldConversion::Drop {
                 constraints::compare_ranges(context.direction, from, to, &mut differences);
                 constraints::compare_presence(from, to, &mut differences, &mut step);
@@ -40,14 +40,17 @@
         step.conversion = FieldConversion::Drop;
     }
     let needed = to.needed || to.required;
-    (FieldComparison { name: to.name.clone(), needed, differences: differences.differences, child }, step)
+    (
+        FieldComparison { name: to.name.clone(), needed, differences: differences.differences, child_pair },
+        step,
+    )
 }
 
 /// Compares name, number and declared meaning.
 fn compare_identity(from: &Field, to: &Field, differences: &mut DifferenceList) {
     if from.name != to.name {
         let detail = format!("written as {}", from.name);
-        differences.add(Rule::FieldRenamed, Impact::Names, Impact::Names, detail);
+        differences.add(Rule::FieldRenamed, Impact::TranslateForJson, Impact::TranslateForJson, detail);
     }
     if from.number != to.number {
         let detail = format!("number {} is written for {}, as declared", from.number, to.number);
@@ -77,7 +80,7 @@
         differences.add(Rule::FieldRenumbered, Impact::Break, Impact::Note, detail);
         return;
     }
-    let unused = if to.required { Impact::Break } else { Impact::Nothing };
+    let impact_if_unused = if to.required { Impact::Break } else { Impact::Nothing };
     let (rule, replacement) = match context.direction {
         Direction::NewToOld => (Rule::FieldRemovedInUse, writer.removed.get(&to.name)),
         _ => (Rule::FieldNeededMissing, to.old_reads_as.as_ref()),
@@ -96,12 +99,12 @@
             differences.add(
                 rule,
                 Impact::Break,
-                unused,
+                impact_if_unused,
                 format!("number {} is no longer written", to.number),
             );
         }
         None if to.needed || to.required => {
-            differences.add(rule, Impact::Break, unused, "older records lack it".into());
+            differences.add(rule, Impact::Break, impact_if_unused, "older records lack it".into());
         }
         None => {}
     }
--- a/crates/schema-compat/src/comparison/field_values.rs
+++ b/crates/schema-compat/src/comparison/field_values.rs
@@ -40,7 +40,7 @@
             return None;
         }
     };
-    let child = child_of(&conversion);
+    let child_pair = child_pair_of(&conversion);
     step.conversion = if becomes_list(from, to) {
         step.fill = report_list_of_one(from, differences);
         FieldConversion::Wrap(conversion)
@@ -49,7 +49,7 @@
     } else {
         FieldConversion::Value(conversion)
     };
-    child
+    child_pair
 }
 
 /// Whether a single value is read as a list.
@@ -65,13 +65,13 @@
     differences: &mut DifferenceList,
     step: &mut FieldStep,
 ) {
-    let unused = match (can_decode, to.required) {
+    let impact_if_unused = match (can_decode, to.required) {
         (true, _) => Impact::Nothing,
         // A strict reader that requires the field fails the complete record without it.
         (false, true) => Impact::Break,
         (false, false) => Impact::Translate,
     };
-    differences.add(mismatch.rule, Impact::Break, unused, mismatch.detail);
+    differences.add(mismatch.rule, Impact::Break, impact_if_unused, mismatch.detail);
     if !can_decode {
         step.conversion = FieldConversion::Drop;
     }
@@ -82,14 +82,14 @@
     // A writer without explicit presence does not encode the default: the list of one value must not become
     // empty.
     let omits_default = !from.explicit && !from.kind.is_message();
-    let used = if omits_default { Impact::Translate } else { Impact::Note };
+    let impact_if_used = if omits_default { Impact::Translate } else { Impact::Note };
     let detail = "one written, read as a list of one".into();
-    differences.add(Rule::CardinalityChanged, used, Impact::Nothing, detail);
+    differences.add(Rule::CardinalityChanged, impact_if_used, Impact::Nothing, detail);
     omits_default
 }
 
 /// The index of the pair of messages that a conversion refers to.
-fn child_of(conversion: &ValueConversion) -> Option<usize> {
+fn child_pair_of(conversion: &ValueConversion) -> Option<usize> {
     match conversion {
         ValueConversion::Child(index) => Some(*index),
         _ => None,
@@ -122,13 +122,19 @@
     differences: &mut Vec<Difference>,
 ) -> Result<ValueConversion, IncompatibleTypes> {
     let detail = format!("{} written, {} read", from.kind.name(), to.kind.name());
-    let mut add = |used, unused, detail| {
-        differences.push(Difference { rule: Rule::TypeReencoded, used, unused, element: None, detail });
+    let mut add = |impact_if_used, impact_if_unused, detail| {
+        differences.push(Difference {
+            rule: Rule::TypeReencoded,
+            impact_if_used,
+            impact_if_unused,
+            element: None,
+            detail,
+        });
     };
     match fit(from.kind, written_domain(context, from), to.kind) {
         TypeFit::Same if from.kind == to.kind => Ok(ValueConversion::Keep),
         TypeFit::Same => {
-            add(Impact::Names, Impact::Note, format!("{detail}: the same bytes"));
+            add(Impact::TranslateForJson, Impact::Note, format!("{detail}: the same bytes"));
             Ok(ValueConversion::Keep)
         }
         TypeFit::Convert => {
@@ -182,14 +188,14 @@
     match (key, value) {
         (Ok(ValueConversion::Keep), Ok(ValueConversion::Keep)) => None,
         (Ok(key), Ok(value)) => {
-            let child = child_of(&value);
+            let child_pair = child_pair_of(&value);
             step.conversion = FieldConversion::Map(key, value);
-            child
+            child_pair
         }
         (Err(mismatch), _) | (_, Err(mismatch)) => {
-            let unused = if to.required { Impact::Break } else { Impact::Translate };
+            let impact_if_unused = if to.required { Impact::Break } else { Impact::Translate };
             let detail = format!("entry: {}", mismatch.detail);
-            differences.add(mismatch.rule, Impact::Break, unused, detail);
+            differences.add(mismatch.rule, Impact::Break, impact_if_unused, detail);
             step.conversion = FieldConversion::Drop;
             None
         }
--- a/crates/schema-compat/src/comparison/mod.rs
+++ b/crates/schema-compat/src/comparison/mod.rs
@@ -28,8 +28,8 @@
     if writer.meaning != reader.meaning {
         comparison.differences.push(Difference {
             rule: Rule::MeaningChanged,
-            used: Impact::Break,
-            unused: Impact::Note,
+            impact_if_used: Impact::Break,
+            impact_if_unused: Impact::Note,
             element: None,
             detail: format!(
                 "message means {} to its writer and {} to its reader",
@@ -39,7 +39,7 @@
     }
     for field in reader.fields.values() {
         let (field_comparison, step) = field::compare(context, writer, reader, field);
-        if field_comparison.child.is_some()
+        if field_comparison.child_pair.is_some()
             || field_comparison.needed
             || !field_comparison.differences.is_empty()
         {
@@ -59,12 +59,12 @@
 pub(crate) fn compare(writer: &Model, reader: &Model, direction: Direction) -> SchemaComparison {
     let mut context = ComparisonContext::new(writer, reader, direction);
     let roots = reader.roots.iter().map(|&message| compare_record(&mut context, message)).collect();
-    let mut nodes = Vec::new();
-    while nodes.len() < context.pairs.len() {
-        let (writer, reader) = context.pairs[nodes.len()];
-        nodes.push(compare_messages(&mut context, writer, reader));
+    let mut message_comparisons = Vec::new();
+    while message_comparisons.len() < context.pairs.len() {
+        let (writer, reader) = context.pairs[message_comparisons.len()];
+        message_comparisons.push(compare_messages(&mut context, writer, reader));
     }
-    SchemaComparison { direction, roots, nodes, exceeded: context.exceeded }
+    SchemaComparison { direction, roots, message_comparisons, exceeded: context.exceeded }
 }
 
 /// Finds the writer's message for a published message of the reader and queues the pair.
@@ -78,8 +78,14 @@
         _ => read.former_names.iter().find_map(|name| context.writer.message_named(name)),
     });
     let mut differences = Vec::new();
-    let mut add = |rule, used, detail| {
-        differences.push(Difference { rule, used, unused: Impact::Note, element: None, detail })
+    let mut add = |rule, impact_if_used, detail| {
+        differences.push(Difference {
+            rule,
+            impact_if_used,
+            impact_if_unused: Impact::Note,
+            element: None,
+            detail,
+        })
     };
     let Some(written) = written else {
         if context.direction == Direction::NewToOld {
@@ -90,18 +96,18 @@
                 None => add(Rule::MessageRemovedInUse, Impact::Break, "no longer published".into()),
             }
         }
-        return RecordComparison { writer: None, reader: read.name.clone(), node: None, differences };
+        return RecordComparison { writer: None, reader: read.name.clone(), pair: None, differences };
     };
     let name = &context.writer.messages[written].name;
     if *name != read.name {
         differences.push(Difference {
             rule: Rule::MessageRenamed,
-            used: Impact::Translate,
-            unused: Impact::Translate,
+            impact_if_used: Impact::Translate,
+            impact_if_unused: Impact::Translate,
             element: None,
             detail: format!("written as {name}"),
         });
     }
-    let node = context.pair_index(written, reader);
-    RecordComparison { writer: Some(name.clone()), reader: read.name.clone(), node: Some(node), differences }
+    let pair = context.pair_index(written, reader);
+    RecordComparison { writer: Some(name.clone()), reader: read.name.clone(), pair: Some(pair), differences }
 }
--- a/crates/schema-compat/src/findings.rs
+++ b/crates/schema-compat/src/findings.rs
@@ -18,7 +18,7 @@
 /// A pair of messages as it is reached along one path.
 struct Place {
     /// Index of the pair of messages.
-    node: usize,
+    pair: usize,
     /// The reader's use of the message.
     usage: UsageNode,
     path: String,
@@ -28,20 +28,20 @@
     /// Reports the findings at one place and queues the places below it.
     fn visit(&mut self, place: &Place, tree: &UsageTree, reader: &Model, pending: &mut Vec<Place>) {
         let comparison = self.comparison;
-        let node = &comparison.nodes[place.node];
+        let message = &comparison.message_comparisons[place.pair];
         let is_used = place.usage != UsageNode::Unused;
         let separator = if place.path.contains('/') { '.' } else { '/' };
         let path_prefix = format!("{}{separator}", place.path);
         for name in tree.fields(place.usage) {
-            if reader.messages[node.reader].field_named(name).is_none() {
+            if reader.messages[message.reader].field_named(name).is_none() {
                 let detail = "no such field in the reader's version";
                 self.report(Rule::UseUnknown, format!("{path_prefix}{name}"), Severity::Break, detail);
             }
         }
-        for difference in &node.differences {
+        for difference in &message.differences {
             self.add_difference(difference, is_used, &place.path, &path_prefix);
         }
-        for field in &node.fields {
+        for field in &message.fields {
             // A needed field counts as used only where the reader uses the message that holds it.
             let usage = match tree.field(place.usage, &field.name) {
                 UsageNode::Unused if field.needed && is_used => UsageNode::All,
@@ -51,22 +51,22 @@
             for difference in &field.differences {
                 self.add_difference(difference, usage != UsageNode::Unused, &path, &path_prefix);
             }
-            if let Some(child) = field.child {
-                pending.push(Place { node: child, usage, path });
+            if let Some(pair) = field.child_pair {
+                pending.push(Place { pair, usage, path });
             }
         }
     }
 
     /// Reports a difference with the severity that it has for this reader.
-    fn add_difference(&mut self, difference: &Difference, used: bool, path: &str, path_prefix: &str) {
-        let severity = match if used { difference.used } else { difference.unused } {
+    fn add_difference(&mut self, difference: &Difference, is_used: bool, path: &str, path_prefix: &str) {
+        let severity = match if is_used { difference.impact_if_used } else { difference.impact_if_unused } {
             Impact::Nothing => return,
             Impact::Note => Severity::Note,
-            Impact::Names if self.usage.encoding == RecordEncoding::Json => Severity::Translate,
-            Impact::Names => Severity::Note,
+            Impact::TranslateForJson if self.usage.encoding == RecordEncoding::Json => Severity::Translate,
+            Impact::TranslateForJson => Severity::Note,
             Impact::Translate => Severity::Translate,
-            Impact::Intolerant if self.usage.tolerant => Severity::Note,
-            Impact::Intolerant | Impact::Break => Severity::Break,
+            Impact::BreakIfIntolerant if self.usage.tolerant => Severity::Note,
+            Impact::BreakIfIntolerant | Impact::Break => Severity::Break,
         };
         let path = match &difference.element {
             Some(element) if difference.rule == Rule::OneofMemberUnknown => format!("{path_prefix}{element}"),
@@ -112,16 +112,16 @@
         );
     }
     for root in &comparison.roots {
-        let used = tree.root(&root.reader);
+        let root_usage = tree.root(&root.reader);
         root.differences.iter().for_each(|difference| {
-            collector.add_difference(difference, used != UsageNode::Unused, &root.reader, "")
+            collector.add_difference(difference, root_usage != UsageNode::Unused, &root.reader, "")
         });
-        if let Some(node) = root.node {
-            pending.push(Place { node, usage: used, path: root.reader.clone() });
+        if let Some(pair) = root.pair {
+            pending.push(Place { pair, usage: root_usage, path: root.reader.clone() });
         }
     }
     while let Some(place) = pending.pop() {
-        if !visited.insert((place.node, place.usage)) {
+        if !visited.insert((place.pair, place.usage)) {
             continue;
         }
         if visited.len() > MAX_VISITED_PLACES {
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -34,10 +34,10 @@
 /// were rejected.
 #[derive(Clone, Debug)]
 pub struct Translation {
-    /// The reader's descriptor and the index in `nodes`, by the writer's message name.
+    /// The reader's descriptor and the index in `steps_by_pair`, by the writer's message name.
     roots: BTreeMap<String, (MessageDescriptor, usize)>,
     /// Steps by index of the pair of messages.
-    nodes: Vec<Vec<FieldStep>>,
+    steps_by_pair: Vec<Vec<FieldStep>>,
     changes: bool,
 }
 
@@ -48,19 +48,20 @@
         Self::from_comparison(&compare(&writer.model, &reader.model, direction), reader)
     }
 
-    pub(crate) fn from_comparison(pair: &SchemaComparison, reader: &Schema) -> Self {
-        let mut nodes: Vec<Vec<FieldStep>> = pair.nodes.iter().map(|node| node.steps.clone()).collect();
+    pub(crate) fn from_comparison(comparison: &SchemaComparison, reader: &Schema) -> Self {
+        let mut steps_by_pair: Vec<Vec<FieldStep>> =
+            comparison.message_comparisons.iter().map(|message| message.steps.clone()).collect();
         // A field whose message needs no translation at any depth needs no step. Repeats until nothing
         // changes, because types may be recursive.
         let mut has_work: Vec<bool> =
-            nodes.iter().map(|steps| steps.iter().any(|step| child_node(step).is_none())).collect();
+            steps_by_pair.iter().map(|steps| steps.iter().any(|step| child_pair(step).is_none())).collect();
         loop {
-            let next: Vec<bool> = (0..nodes.len())
+            let next: Vec<bool> = (0..steps_by_pair.len())
                 .map(|index| {
                     has_work[index]
-                        || nodes[index]
+                        || steps_by_pair[index]
                             .iter()
-                            .any(|step| child_node(step).is_some_and(|child| has_work[child]))
+                            .any(|step| child_pair(step).is_some_and(|child| has_work[child]))
                 })
                 .collect();
             if next == has_work {
@@ -68,21 +69,21 @@
             }
             has_work = next;
         }
-        for steps in &mut nodes {
-            steps.retain(|step| child_node(step).is_none_or(|child| has_work[child]));
+        for steps in &mut steps_by_pair {
+            steps.retain(|step| child_pair(step).is_none_or(|child| has_work[child]));
         }
         let mut roots = BTreeMap::new();
         let mut changes = false;
-        for root in &pair.roots {
-            let (Some(written), Some(node), Some(descriptor)) =
-                (&root.writer, root.node, reader.message(&root.reader))
+        for root in &comparison.roots {
+            let (Some(written), Some(pair), Some(descriptor)) =
+                (&root.writer, root.pair, reader.message(&root.reader))
             else {
                 continue;
             };
-            changes |= has_work[node] || *written != root.reader;
-            roots.insert(written.clone(), (descriptor, node));
+            changes |= has_work[pair] || *written != root.reader;
+            roots.insert(written.clone(), (descriptor, pair));
         }
-        Self { roots, nodes, changes }
+        Self { roots, steps_by_pair, changes }
     }
 
     /// Whether the translation may change any record's bytes or message name.
@@ -96,15 +97,15 @@
     /// # Errors
     /// A value cannot be represented in the reader's type, or the record's descriptors are not the writer's.
     pub fn run(&self, record: &DynamicMessage) -> Result<Option<DynamicMessage>, TranslateError> {
-        let Some((descriptor, node)) = self.roots.get(record.descriptor().full_name()) else {
+        let Some((descriptor, pair)) = self.roots.get(record.descriptor().full_name()) else {
             return Ok(None);
         };
-        self.message(*node, record.clone(), descriptor).map(Some)
+        self.message(*pair, record.clone(), descriptor).map(Some)
     }
 
     fn message(
         &self,
-        node: usize,
+        pair: usize,
         mut from: DynamicMessage,
         to: &MessageDescriptor,
     ) -> Result<DynamicMessage, TranslateError> {
@@ -113,7 +114,7 @@
             detail,
         };
         let mut converted_fields: Vec<(FieldDescriptor, Value)> = Vec::new();
-        for step in &self.nodes[node] {
+        for step in &self.steps_by_pair[pair] {
             let field =
                 to.get_field(step.to).ok_or_else(|| translate_error("", format!("no field {}", step.to)))?;
             let not_representable =
@@ -209,8 +210,8 @@
                 let known = map.iter().find(|(from, _)| *from == number).map_or(number, |(_, to)| *to);
                 Some(Value::EnumNumber(known))
             }
-            (ValueConversion::Child(node), Value::Message(message)) => match kind {
-                Kind::Message(to) => Some(Value::Message(self.message(*node, message, to)?)),
+            (ValueConversion::Child(pair), Value::Message(message)) => match kind {
+                Kind::Message(to) => Some(Value::Message(self.message(*pair, message, to)?)),
                 _ => None,
             },
             _ => None,
@@ -227,7 +228,7 @@
 }
 
 /// The index of the child message's node, if the step only translates that message.
-fn child_node(step: &FieldStep) -> Option<usize> {
+fn child_pair(step: &FieldStep) -> Option<usize> {
     match &step.conversion {
         FieldConversion::Value(ValueConversion::Child(index))
         | FieldConversion::Map(ValueConversion::Keep, ValueConversion::Child(index))
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -120,7 +120,7 @@
             let (root, fields) = path.split_once('/').unwrap_or((path, ""));
             let mut steps = fields.split('.').filter(|step| !step.is_empty()).peekable();
             let first = tree.roots.get(root).copied();
-            let mut current = match (first, steps.peek()) {
+            let mut current_part = match (first, steps.peek()) {
                 (Some(UsageNode::All), _) => continue,
                 (_, None) => {
                     tree.roots.insert(root.to_string(), UsageNode::All);
@@ -134,17 +134,17 @@
                 }
             };
             while let Some(step) = steps.next() {
-                let child = tree.parts[current].get(step).copied();
-                current = match (child, steps.peek()) {
+                let child = tree.parts[current_part].get(step).copied();
+                current_part = match (child, steps.peek()) {
                     (Some(UsageNode::All), _) => break,
                     (_, None) => {
-                        tree.parts[current].insert(step.to_string(), UsageNode::All);
+                        tree.parts[current_part].insert(step.to_string(), UsageNode::All);
                         break;
                     }
                     (Some(UsageNode::Part(part)), _) => part,
                     _ => {
                         let part = tree.add_part();
-                        tree.parts[current].insert(step.to_string(), UsageNode::Part(part));
+                        tree.parts[current_part].insert(step.to_string(), UsageNode::Part(part));
                         part
                     }
                 };
