--- a/crates/schema-compat/src/registry/codec.rs
+++ b/crates/schema-compat/src/registry/codec.rs
@@ -7,28 +7,28 @@
 use prost::Message as _;
 use thiserror::Error;
 
-/// Maximum bytes of a command: those of a schema, and 256 for each declaration.
+/// Maximum bytes of a command: the maximum of a schema, and 256 for each declaration.
 pub const MAX_COMMAND_BYTES: usize = MAX_SCHEMA_BYTES + MAX_DECLARATIONS * 256;
 
 /// Why bytes cannot be decoded as a command.
 #[derive(Clone, PartialEq, Eq, Debug, Error)]
 pub enum CommandDecodeError {
-    /// More bytes than [`MAX_COMMAND_BYTES`].
+    /// The command has more bytes than [`MAX_COMMAND_BYTES`].
     #[error("command of {bytes} bytes, at most {MAX_COMMAND_BYTES} are allowed")]
     TooLarge {
-        /// Size of the encoded command.
+        /// Size of the encoded command, in bytes.
         bytes: usize,
     },
     /// The bytes are not a protobuf message of a command.
     #[error("invalid command: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// A command kind that this program does not know.
+    /// The command is of a kind that this program does not know.
     #[error("command of unknown kind {0}")]
     UnknownCommandKind(u32),
-    /// A declaration kind that this program does not know.
+    /// A declaration is of a kind that this program does not know.
     #[error("declaration of unknown kind {0}")]
     UnknownDeclarationKind(u32),
-    /// A subscription without a usage declaration.
+    /// A subscription has no usage declaration.
     #[error("subscription without a usage declaration")]
     MissingUsage,
 }
@@ -190,8 +190,8 @@
     /// Decodes a command from the journal's bytes.
     ///
     /// # Errors
-    /// Bytes over [`MAX_COMMAND_BYTES`], that are not a command, or of a kind that this program does not
-    /// know.
+    /// There are more bytes than [`MAX_COMMAND_BYTES`], or they are not a command of a kind that this program
+    /// knows.
     pub fn decode(bytes: &[u8]) -> Result<Self, CommandDecodeError> {
         if bytes.len() > MAX_COMMAND_BYTES {
             return Err(CommandDecodeError::TooLarge { bytes: bytes.len() });
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -33,9 +33,9 @@
 /// One change of the registry, as encoded in the journal ([`codec`]).
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RegistryCommand {
-    /// A publisher proposes a schema. Once accepted, it is in force beside the earlier ones until withdrawn.
-    /// Proposing the same schema and declarations again is idempotent while it is in force; after a
-    /// withdrawal it is checked again.
+    /// A publisher proposes a schema. An accepted schema is in force beside earlier ones until it is
+    /// withdrawn. Proposing the same schema and declarations again is idempotent while the schema is in force;
+    /// after a withdrawal the schema is checked again.
     Propose {
         /// Name of the publisher.
         publisher: String,
@@ -47,18 +47,18 @@
         /// proposal.
         replayed: bool,
     },
-    /// A subscriber begins to read a version. If accepted, it replaces the subscriber's earlier subscription
-    /// to the publisher.
+    /// A subscriber begins to read a version. An accepted subscription replaces the subscriber's earlier
+    /// subscription to the publisher.
     Subscribe {
         /// Name of the subscriber.
         subscriber: String,
-        /// The publisher whose records it reads.
+        /// Name of the publisher whose records the subscriber reads.
         publisher: String,
-        /// The version that it reads, by its number in the registry.
+        /// Number of the version that the subscriber reads.
         version: u32,
-        /// The parts of that version that it uses.
+        /// The parts of that version that the subscriber uses.
         usage: ReaderUsage,
-        /// Duration of the lease, in ms.
+        /// Duration of the lease, in ms: [`MIN_LEASE_MS`] to [`MAX_LEASE_MS`].
         lease_ms: u64,
     },
     /// Renews the lease of a subscriber.
@@ -75,14 +75,15 @@
         /// Name of the publisher.
         publisher: String,
     },
-    /// A leader considers a lease and its margin expired. Rejected while they are not, by the journal's time.
+    /// A leader considers a lease and its margin expired. The command is rejected while they have not expired
+    /// by the journal's time.
     ExpireLease {
         /// Name of the subscriber.
         subscriber: String,
         /// Name of the publisher.
         publisher: String,
     },
-    /// The version is no longer published.
+    /// A version is no longer published; it may be proposed again.
     Withdraw {
         /// Name of the publisher.
         publisher: String,
@@ -111,19 +112,19 @@
     },
     /// The subscription is active.
     Subscribed {
-        /// End of the lease by the journal's time, in ms; the margin comes on top.
+        /// End of the lease without its margin, by the journal's time, in ms.
         until_ms: u64,
         /// Versions in force whose records the subscriber receives translated.
         translated: Vec<u32>,
     },
     /// The lease is renewed.
     Renewed {
-        /// End of the lease by the journal's time, in ms.
+        /// End of the renewed lease without its margin, by the journal's time, in ms.
         until_ms: u64,
     },
     /// The command unsubscribed, expired a lease, withdrew or retired as requested.
     Done,
-    /// Rejected; the state is unchanged.
+    /// The command was rejected, and the state is unchanged.
     Rejected(CommandRejection),
 }
 
@@ -141,13 +142,13 @@
     /// The command itself is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidCommand),
-    /// No such publisher.
+    /// The registry has no publisher of this name.
     #[error("no such publisher")]
     UnknownPublisher,
-    /// The publisher has no such version, or it was retired.
+    /// The publisher has no such version, or the version was retired.
     #[error("no such version")]
     UnknownVersion,
-    /// No such subscriber. If its lease has expired, it must subscribe again.
+    /// The publisher has no subscriber of this name. A subscriber whose lease has expired must subscribe again.
     #[error("no such subscriber, or its lease has expired")]
     UnknownSubscriber,
     /// The lease and its margin have not expired.
@@ -207,7 +208,7 @@
     /// The schema, with its declarations applied.
     pub(crate) schema: Arc<Schema>,
     pub(crate) declared: Vec<MigrationDeclaration>,
-    /// Whether it may be published.
+    /// Whether records of the version may be published.
     pub(crate) in_force: bool,
 }
 
@@ -253,7 +254,7 @@
     pub(crate) publishers: BTreeMap<String, Arc<Publisher>>,
     /// Subscriptions by publisher and subscriber.
     pub(crate) subscriptions: BTreeMap<(String, String), Subscription>,
-    /// The latest time seen in the journal, in ms; it never decreases.
+    /// The latest time of an applied command, in ms; it never decreases.
     pub(crate) now_ms: u64,
     /// Derived state: translations by publisher, writer's version and reader's version; `None` if records
     /// need no translation.
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -73,7 +73,8 @@
             None if self.publishers.len() >= MAX_PUBLISHERS => {
                 Err(limit_reached("publishers", MAX_PUBLISHERS))
             }
-            // A change would add or remove withdrawn versions for subscribers that were already checked.
+            // A change of `replayed` would add or remove withdrawn versions for subscribers that were already
+            // checked.
             Some(known) if known.replayed != replayed => Err(InvalidCommand::ReplayChanged.into()),
             _ => Ok(()),
         }
--- a/crates/schema-compat/src/registry/query.rs
+++ b/crates/schema-compat/src/registry/query.rs
@@ -15,7 +15,7 @@
     /// This schema was never accepted, or is retired.
     #[error("this schema was not accepted")]
     NeverAccepted,
-    /// The schema was withdrawn. Holds its version number.
+    /// The schema was withdrawn; the value is its version number.
     #[error("this schema was withdrawn (version {0})")]
     Withdrawn(u32),
 }
@@ -27,9 +27,9 @@
     pub publisher: String,
     /// Number of the version.
     pub version: u32,
-    /// Digest of its schema.
+    /// Digest of the version's schema.
     pub digest: Digest,
-    /// Whether it may be published.
+    /// Whether records of the version may be published.
     pub in_force: bool,
     /// Number of subscribers that read the version.
     pub subscribers: usize,
@@ -42,9 +42,10 @@
     pub subscriber: String,
     /// Name of the publisher.
     pub publisher: String,
-    /// The version that it reads.
+    /// Number of the version that the subscriber reads.
     pub version: u32,
-    /// The lease's end by the journal's time, in ms; the subscription stays until the margin is over as well.
+    /// End of the lease by the journal's time, in ms; the subscription stays at least until the margin has
+    /// expired as well.
     pub until_ms: u64,
 }
 
@@ -76,7 +77,7 @@
     }
 
     /// The translation of records written by `from_version` for subscribers of `to_version`. `None` if no
-    /// translation is needed, or nobody is subscribed to that version.
+    /// translation is needed, or no subscriber reads `to_version`.
     #[must_use]
     pub fn translation(&self, publisher: &str, from_version: u32, to_version: u32) -> Option<&Translation> {
         self.translations.get(&(publisher.to_string(), from_version, to_version))?.as_deref()
@@ -90,8 +91,8 @@
             .map(|subscription| subscription.version)
     }
 
-    /// Subscribers whose lease and margin have expired at `now_ms`: a leader proposes
-    /// [`super::RegistryCommand::ExpireLease`] for each.
+    /// Subscribers whose lease and margin have expired at `now_ms`. A leader proposes
+    /// [`super::RegistryCommand::ExpireLease`] for each of them.
     pub fn expired_leases(&self, now_ms: u64) -> impl Iterator<Item = SubscriberInfo> + '_ {
         self.subscribers().filter(move |one| now_ms >= one.until_ms.saturating_add(LEASE_MARGIN_MS))
     }
--- a/crates/schema-compat/src/registry/snapshot.rs
+++ b/crates/schema-compat/src/registry/snapshot.rs
@@ -19,16 +19,16 @@
     Edition {
         /// The snapshot's edition.
         theirs: u32,
-        /// [`RULES_EDITION`].
+        /// This program's edition, [`RULES_EDITION`].
         ours: u32,
     },
     /// The bytes are not a protobuf message of a snapshot.
     #[error("snapshot: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// More publishers or subscribers than the registry's limits.
+    /// There are more publishers or subscribers than the registry's limits allow.
     #[error("snapshot: more publishers or subscribers than the limits allow")]
     TooManyEntries,
-    /// A publisher has more versions, or more numbers and names, than its limits.
+    /// A publisher has more versions, or more numbers and names, than its limits allow.
     #[error("snapshot: publisher {publisher} exceeds its limits")]
     PublisherTooLarge {
         /// Name of the publisher.
--- a/crates/schema-compat/src/registry/violation_set.rs
+++ b/crates/schema-compat/src/registry/violation_set.rs
@@ -16,7 +16,7 @@
 /// The readers that a violation would break.
 #[derive(Default)]
 struct AffectedReaders {
-    /// Their names, at most [`MAX_NAMED_READERS`].
+    /// Names of the readers, at most [`MAX_NAMED_READERS`].
     names: BTreeSet<String>,
     /// Number of all readers, including those not named.
     count: usize,
@@ -29,7 +29,7 @@
 }
 
 impl ViolationSet {
-    /// Adds the breaking findings for these readers; returns whether there were any.
+    /// Adds the breaking findings for these readers; returns whether any finding was breaking.
     pub(super) fn add(&mut self, findings: &[Finding], readers: &[&str]) -> bool {
         let mut found_any = false;
         for finding in findings.iter().filter(|finding| finding.severity == Severity::Break) {
