--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -13,19 +13,20 @@
 /// The directions in which a schema change is checked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Directions {
-    /// Checks records of the new version against readers of the old one: publishers are upgraded first.
+    /// Whether records of the new version are checked against readers of the old one, for a change in which
+    /// publishers are upgraded first.
     pub new_to_old: bool,
-    /// Checks records of the old version against readers of the new one: history is replayed, or old
-    /// publishers continue beside new ones.
+    /// Whether records of the old version are checked against readers of the new one, for a change in which
+    /// old records are replayed or old publishers continue beside new ones.
     pub old_to_new: bool,
 }
 
 impl Directions {
-    /// Checks both directions.
+    /// Both directions are checked.
     pub const BOTH: Self = Self { new_to_old: true, old_to_new: true };
-    /// Checks new writers against old readers only.
+    /// Only new writers are checked against old readers.
     pub const NEW_TO_OLD: Self = Self { new_to_old: true, old_to_new: false };
-    /// Checks old writers against new readers only.
+    /// Only old writers are checked against new readers.
     pub const OLD_TO_NEW: Self = Self { new_to_old: false, old_to_new: true };
 }
 
@@ -103,7 +104,8 @@
     findings
 }
 
-/// Findings of the history rules for a new schema after all versions `before` it, oldest first.
+/// Findings for the schema `new` of the rules on numbers and names that earlier versions used or reserved (the
+/// history rules). `before` holds these versions, oldest first.
 #[must_use]
 pub fn history_findings(before: &[&Schema], new: &Schema) -> Vec<Finding> {
     let mut symbol_history = SymbolHistory::default();
--- a/crates/schema-compat/src/comparison/constraints.rs
+++ b/crates/schema-compat/src/comparison/constraints.rs
@@ -7,7 +7,8 @@
 use crate::model::{Field, FieldCardinality, Message};
 use crate::rules::{Direction, Rule};
 
-/// Compares ranges and lengths: the written range must lie within the one that the reader's version declares.
+/// Compares ranges and lengths: the written range must lie within the range that the reader's version
+/// declares.
 pub(crate) fn compare_ranges(
     direction: Direction,
     from: &Field,
--- a/crates/schema-compat/src/comparison/context.rs
+++ b/crates/schema-compat/src/comparison/context.rs
@@ -39,8 +39,8 @@
         index
     }
 
-    /// Whether two fields are the same by name: the newer field has the older one's name or declares it as a
-    /// former one.
+    /// Whether two fields are the same by name: the newer field has the older field's name, or declares that
+    /// name as a former name.
     fn is_same_field(&self, writer: &Field, reader: &Field) -> bool {
         match self.direction {
             Direction::NewToOld => writer.has_or_had_name(&reader.name),
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The writer's field that corresponds to the reader's: by number and name, or by a number declared as
-    /// former.
+    /// The writer's field that corresponds to a field of the reader: it is the same field by name, and has the
+    /// same number or one that is declared as a former number.
     pub(crate) fn counterpart<'m>(&self, writer: &'m Message, reader: &Field) -> Option<&'m Field> {
         let is_renumbered = |field: &&Field| match self.direction {
             Direction::NewToOld => field.former_numbers.contains(&reader.number),
--- a/crates/schema-compat/src/comparison/conversion.rs
+++ b/crates/schema-compat/src/comparison/conversion.rs
@@ -9,7 +9,7 @@
     Convert,
     /// Replaces enum numbers that the reader does not know: pairs of the written number and its replacement.
     Enum(Vec<(i32, i32)>),
-    /// Translates a message: index of its pair of messages.
+    /// Translates a message; the value is the index of its pair of messages.
     Child(usize),
 }
 
@@ -19,7 +19,7 @@
     Keep,
     /// Drops the written field, which the reader could not decode.
     Drop,
-    /// Sets this value, given as text, whatever the record holds.
+    /// Sets this value, given as text, regardless of the record's content.
     Default(String),
     Value(ValueConversion),
     /// Converts a single value to a list of one.
--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -8,10 +8,10 @@
 pub(crate) enum Impact {
     Nothing,
     Note,
-    /// A translation for readers of JSON, a note for others.
+    /// Readers of JSON need a translation; for readers of binary records the difference is a note.
     TranslateForJson,
     Translate,
-    /// A break for readers that do not tolerate unknown values, a note for others.
+    /// Readers that do not tolerate unknown values break; for tolerant readers the difference is a note.
     BreakIfIntolerant,
     Break,
 }
@@ -50,14 +50,14 @@
     pub(crate) steps: Vec<FieldStep>,
 }
 
-/// Comparison of a published message.
+/// Comparison of a message that the reader's version publishes as a record.
 #[derive(Clone, Debug)]
 pub(crate) struct RecordComparison {
     /// The writer's message name; `None` if the writer does not publish the message.
     pub(crate) writer: Option<String>,
     /// The reader's message name.
     pub(crate) reader: String,
-    /// Index of the pair of messages.
+    /// Index of the pair of messages; `None` if the writer does not publish the message.
     pub(crate) pair: Option<usize>,
     pub(crate) differences: Vec<Difference>,
 }
--- a/crates/schema-compat/src/comparison/field_values.rs
+++ b/crates/schema-compat/src/comparison/field_values.rs
@@ -14,7 +14,8 @@
     detail: String,
 }
 
-/// Compares types and cardinality; returns the index of the pair of messages that the fields hold.
+/// Compares types and cardinality. Returns the index of the pair of messages that the fields hold; `None` if
+/// they do not hold messages that can be compared.
 pub(crate) fn compare_values(
     context: &mut ComparisonContext,
     from: &Field,
@@ -57,7 +58,8 @@
     from.cardinality == FieldCardinality::Singular && to.cardinality == FieldCardinality::Repeated
 }
 
-/// Reports a field that cannot be converted. Where a strict reader could not even decode it, it is dropped.
+/// Reports a field that cannot be converted. A translation drops the field if a strict reader could not even
+/// decode it.
 fn reject_field(
     to: &Field,
     mismatch: IncompatibleTypes,
@@ -88,7 +90,7 @@
     omits_default
 }
 
-/// The index of the pair of messages that a conversion refers to.
+/// The index of the pair of messages that a conversion translates.
 fn child_pair_of(conversion: &ValueConversion) -> Option<usize> {
     match conversion {
         ValueConversion::Child(index) => Some(*index),
--- a/crates/schema-compat/src/convert.rs
+++ b/crates/schema-compat/src/convert.rs
@@ -48,8 +48,8 @@
     })
 }
 
-/// The same value as type `kind`, exactly: within integers, floating-point numbers and text or bytes, and
-/// from integers to floating-point numbers.
+/// Converts a value exactly to type `kind`: among integers, among floating-point numbers, between text and
+/// bytes, and from integers to floating-point numbers.
 pub(crate) fn convert(value: &Value, kind: &Kind) -> Result<Value, NotRepresentable> {
     match (scalar_of(value).ok_or(NotRepresentable)?, kind) {
         (ScalarValue::Integer(number), _) => integer_value(number, kind),
@@ -67,12 +67,12 @@
     }
 }
 
-/// A map's key as a value of type `kind`.
+/// Converts a map's key exactly to type `kind`.
 pub(crate) fn convert_key(key: MapKey, kind: &Kind) -> Result<MapKey, NotRepresentable> {
     convert(&Value::from(key), kind)?.into_map_key().ok_or(NotRepresentable)
 }
 
-/// A declared value's text as a value of type `kind`: `12`, `-1`, `0.5`, `true`, a literal text, an enum
+/// Parses the text of a declared value as type `kind`: `12`, `-1`, `0.5`, `true`, a literal text, or an enum
 /// value's name.
 pub(crate) fn parse(text: &str, kind: &Kind) -> Result<Value, NotRepresentable> {
     match kind {
@@ -91,8 +91,8 @@
     descriptor.get_value_by_name(name).map(|value| Value::EnumNumber(value.number()))
 }
 
-/// A text that two equal values of different types share: integers and enum numbers in decimal, texts and
-/// bytes in hexadecimal.
+/// A text that is the same for equal values of different types: integers and enum numbers in decimal, texts
+/// and bytes in hexadecimal.
 pub(crate) fn canonical(value: &Value) -> String {
     match scalar_of(value) {
         Some(ScalarValue::Integer(number)) => number.to_string(),
--- a/crates/schema-compat/src/declaration.rs
+++ b/crates/schema-compat/src/declaration.rs
@@ -13,7 +13,7 @@
     MessageRenamed {
         /// Full name of the message.
         message: String,
-        /// Its former full name.
+        /// Former full name of the message.
         former_name: String,
     },
     /// A field had another name.
@@ -22,7 +22,7 @@
         message: String,
         /// Name of the field.
         field: String,
-        /// Its former name.
+        /// Former name of the field.
         former_name: String,
     },
     /// A field had another number.
@@ -31,7 +31,7 @@
         message: String,
         /// Name of the field.
         field: String,
-        /// Its former number.
+        /// Former number of the field.
         number: u32,
     },
     /// Old readers of a removed field get the given value.
@@ -40,7 +40,7 @@
         message: String,
         /// Name of the removed field.
         field: String,
-        /// Text of the value.
+        /// Text of the value that readers get, such as `12`, `true` or the name of an enum value.
         value: String,
     },
     /// New readers get the given value for a field that older records lack.
@@ -49,16 +49,16 @@
         message: String,
         /// Name of the field.
         field: String,
-        /// Text of the value.
+        /// Text of the value that readers get, such as `12`, `true` or the name of an enum value.
         value: String,
     },
     /// Readers that do not know a new or removed enum value get another value.
     EnumValueFallback {
         /// Full name of the enum.
         enumeration: String,
-        /// Name of the value that they do not know.
+        /// Name of the value that readers may not know.
         value: String,
-        /// Name of the value that they get instead.
+        /// Name of the value that such readers get instead.
         reads_as: String,
     },
 }
@@ -77,12 +77,12 @@
 }
 
 impl Schema {
-    /// The same schema with declarations applied. The digest is unchanged: it identifies what publishers
-    /// write.
+    /// The same schema with declarations applied. The digest does not change, since it identifies the schema
+    /// that publishers write.
     ///
     /// # Errors
-    /// A declaration that names a message, field or enum that the schema does not have; more than
-    /// [`MAX_DECLARATIONS`], or a text longer than [`MAX_DECLARATION_BYTES`] bytes.
+    /// A declaration names a message, field or enum that the schema does not have, there are more than
+    /// [`MAX_DECLARATIONS`] declarations, or one has a text longer than [`MAX_DECLARATION_BYTES`] bytes.
     pub fn declare(mut self, declared: &[MigrationDeclaration]) -> Result<Self, SchemaError> {
         check_limit("declarations", declared.len(), MAX_DECLARATIONS)?;
         for declaration in declared {
--- a/crates/schema-compat/src/error.rs
+++ b/crates/schema-compat/src/error.rs
@@ -5,7 +5,7 @@
 /// Why a text or a descriptor set is not a valid schema.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SchemaError {
-    /// The compiler's message: file, line and cause.
+    /// The text does not compile; the value is the compiler's message with file, line and cause.
     #[error("schema does not compile: {0}")]
     Compile(String),
     /// The bytes are not a valid descriptor set.
@@ -32,7 +32,7 @@
 /// A name in a [`MigrationDeclaration`](crate::MigrationDeclaration) that the schema does not have.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeclarationError {
-    /// No message of this full name.
+    /// The schema has no message of this full name.
     #[error("no message {0}")]
     UnknownMessage(String),
     /// The message has no such field.
@@ -43,7 +43,7 @@
         /// Name of the field.
         field: String,
     },
-    /// No enum of this full name.
+    /// The schema has no enum of this full name.
     #[error("no enum {0}")]
     UnknownEnum(String),
 }
--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -36,8 +36,8 @@
     NewSchema(SchemaError),
 }
 
-/// Checks the change from one schema text to another, in both directions, for readers with `usage` of the old
-/// one.
+/// Checks the change from one schema text to another, in both directions, for readers that use the parts of
+/// the old schema that `usage` declares.
 ///
 /// # Errors
 /// A text is not a valid schema, or the usage declaration exceeds a limit.
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A summary line, then one line per finding.
+    /// The report as text: a summary line, then one line per finding.
     #[must_use]
     pub fn text(&self) -> String {
         let short_digest = |digest: Digest| digest.to_string().chars().take(12).collect::<String>();
@@ -87,8 +87,8 @@
         text
     }
 
-    /// One JSON object: `verdict`, `old`, `new`, `findings` of `severity`, `rule`, `path`, `direction`,
-    /// `detail`.
+    /// The report as one JSON object with `verdict`, `old`, `new` and `findings`; each finding has `severity`,
+    /// `rule`, `path`, `direction` and `detail`.
     #[must_use]
     pub fn json(&self) -> String {
         let findings: Vec<_> = (self.findings.iter())
--- a/crates/schema-compat/src/field_type.rs
+++ b/crates/schema-compat/src/field_type.rs
@@ -167,7 +167,7 @@
 pub(crate) enum TypeFit {
     /// The same bytes give the same value.
     Same,
-    /// Every value can be represented in the reader's type, but is encoded differently: it is converted.
+    /// Every value can be represented in the reader's type, but is encoded differently and must be converted.
     Convert,
     /// Some values cannot be represented in the reader's type.
     Narrowed,
@@ -181,10 +181,11 @@
 /// significand).
 const MAX_EXACT_DOUBLE_INTEGER: i128 = 1 << 53;
 
-/// How values of type `writer`, narrowed to `from`, fit the type `reader`. Messages are compared elsewhere.
-pub(crate) fn fit(writer: FieldType, from: ValueDomain, reader: FieldType) -> TypeFit {
+/// How the values of a field of type `writer` fit the type `reader`; `written` is the domain of the values
+/// that the writer may write. The contents of messages are not compared here.
+pub(crate) fn fit(writer: FieldType, written: ValueDomain, reader: FieldType) -> TypeFit {
     let same_bytes = writer.class() == reader.class();
-    let contained = match (from, reader.domain()) {
+    let contained = match (written, reader.domain()) {
         // An integer does not determine which enum value is meant.
         (ValueDomain::Integer(..), _) if matches!(reader, FieldType::Enum(_)) => return TypeFit::Unrelated,
         (ValueDomain::Integer(low, high), ValueDomain::Integer(lower, upper)) => {
@@ -220,8 +221,8 @@
     pub(crate) is_packed: bool,
 }
 
-/// Whether a strict reader can decode whatever bytes a writer's field has. A strict reader fails the complete
-/// record on a wrong wire type or on bytes that are not UTF-8, as prost does.
+/// Whether a strict reader can decode all bytes that a writer's field may have. A strict reader fails the
+/// complete record on a wrong wire type or on bytes that are not UTF-8, as prost does.
 pub(crate) fn decodes(writer: FieldEncoding, reader: FieldEncoding) -> bool {
     let written = writer.field_type;
     let read = reader.field_type;
--- a/crates/schema-compat/src/limits.rs
+++ b/crates/schema-compat/src/limits.rs
@@ -35,23 +35,23 @@
 pub const MAX_DECLARATIONS: usize = 1_024;
 /// Maximum bytes of each string in a declaration.
 pub const MAX_DECLARATION_BYTES: usize = 1_024;
-/// Number of sample records of each kind that a translation is run on before it is accepted.
+/// Number of sample records of each record type on which a translation is run before it is accepted.
 pub const SAMPLES_PER_RECORD_TYPE: u64 = 8;
 /// Maximum levels of nested messages in a sample: enough to visit a recursive type twice.
 pub const MAX_SAMPLE_DEPTH: usize = 4;
-/// Maximum bytes of a text in a sample, unless its field declares more.
+/// Maximum bytes of a text in a sample beyond the minimum length that its field declares.
 pub const MAX_SAMPLE_TEXT_BYTES: u64 = 24;
 
-/// Maximum publishers of one registry. A further one is rejected.
+/// Maximum publishers of one registry; further publishers are rejected.
 pub const MAX_PUBLISHERS: usize = 64;
 /// Maximum versions retained of one publisher. At the limit a proposal is rejected until an old version is
 /// retired.
 pub const MAX_VERSIONS: usize = 64;
-/// Maximum subscriptions of one registry, over all publishers. A further one is rejected; renewals still
-/// succeed.
+/// Maximum subscriptions of one registry, over all publishers. Further subscriptions are rejected; renewals
+/// still succeed.
 pub const MAX_SUBSCRIBERS: usize = 4_096;
-/// Maximum numbers and names in the symbol history of one publisher. A proposal that would exceed it is
-/// rejected.
+/// Maximum numbers and names in the symbol history of one publisher; a proposal that would exceed this limit
+/// is rejected.
 pub const MAX_HISTORY_SYMBOLS: usize = 16_384;
 /// Shortest lease, in ms: long enough to renew across one change of leader (2 s).
 pub const MIN_LEASE_MS: u64 = 5_000;
@@ -60,6 +60,6 @@
 /// Grace period after a lease's end before the lease may be expired, in ms: covers the clock drift between
 /// two managers over the longest lease (500 ppm is 1.8 s) and a renewal that is still in flight.
 pub const LEASE_MARGIN_MS: u64 = 5_000;
-/// The edition of the rules. Replicas with different rules would derive different states from one journal:
-/// every change of a rule increments it, and a snapshot of another edition is rejected.
+/// The edition of the rules, which every change of a rule increments. Replicas with different rules would
+/// derive different states from one journal, so a snapshot of another edition is rejected.
 pub const RULES_EDITION: u32 = 1;
--- a/crates/schema-compat/src/model/builder.rs
+++ b/crates/schema-compat/src/model/builder.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// The messages of own files and those of other files that their fields hold, with their indexes by full
-/// name.
+/// The messages of own files and the messages of other files that their fields hold, with the messages'
+/// indexes by full name.
 fn collect_messages(
     pool: &DescriptorPool,
     is_own: &dyn Fn(&str) -> bool,
--- a/crates/schema-compat/src/model/mod.rs
+++ b/crates/schema-compat/src/model/mod.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The lowest and highest integer that a writer of this field writes; `None` if it does not hold
+    /// The lowest and highest integer that a writer of this field writes; `None` if the field does not hold
     /// integers.
     pub(crate) fn integer_range(&self) -> Option<(i128, i128)> {
         match self.kind.domain() {
@@ -94,7 +94,7 @@
     /// Fields by number.
     pub(crate) fields: BTreeMap<u32, Field>,
     pub(crate) oneofs: Vec<Oneof>,
-    /// First and last number, both included.
+    /// Reserved ranges: first and last number, both included.
     pub(crate) reserved: Vec<(u32, u32)>,
     pub(crate) reserved_names: BTreeSet<String>,
     pub(crate) meaning: u32,
@@ -130,7 +130,7 @@
 pub(crate) struct Enum {
     pub(crate) name: String,
     pub(crate) values: Vec<EnumValue>,
-    /// First and last number, both included.
+    /// Reserved ranges: first and last number, both included.
     pub(crate) reserved: Vec<(i32, i32)>,
     pub(crate) reserved_names: BTreeSet<String>,
     /// Whether a reader treats unknown numbers as absent (proto2).
@@ -151,7 +151,7 @@
     pub(crate) enums: Vec<Enum>,
     /// Indexes of messages by full name.
     pub(crate) by_name: BTreeMap<String, usize>,
-    /// Indexes of the messages that are published themselves, not only as parts of others.
+    /// Indexes of the messages that are published as records, not only as parts of other messages.
     pub(crate) roots: Vec<usize>,
 }
 
@@ -160,8 +160,8 @@
         self.by_name.get(name).copied()
     }
 
-    /// The messages marked as records. If none is marked: those that no other message refers to, or all
-    /// messages if every one is referred to.
+    /// The messages marked as records. If none is marked: the messages that no other message refers to, or all
+    /// messages if each of them is referred to.
     fn find_roots(&self) -> Vec<usize> {
         let own = || (0..self.messages.len()).filter(|&index| self.messages[index].own);
         let marked: Vec<usize> = own().filter(|&index| self.messages[index].record).collect();
--- a/crates/schema-compat/src/rules.rs
+++ b/crates/schema-compat/src/rules.rs
@@ -35,17 +35,17 @@
     FieldRenamed = "FIELD_RENAMED",
     /// A field that readers need may be absent from written records.
     FieldNeededMissing = "FIELD_NEEDED_MISSING",
-    /// The types have nothing in common, or only their encoding.
+    /// The written and the read type have nothing in common, or only their encoding.
     TypeChanged = "TYPE_CHANGED",
-    /// Some values of the written type cannot be represented in the read one.
+    /// Some values of the written type cannot be represented in the read type.
     TypeNarrowed = "TYPE_NARROWED",
-    /// Every value can be represented, but is encoded differently.
+    /// Every value of the written type can be represented in the read type, but is encoded differently.
     TypeReencoded = "TYPE_REENCODED",
     /// A field changed between a single value, a list and a map.
     CardinalityChanged = "CARDINALITY_CHANGED",
-    /// Readers distinguish an absent field from the default, writers do not.
+    /// Readers distinguish an absent field from one that holds the default; writers do not.
     PresenceChanged = "PRESENCE_CHANGED",
-    /// An absent field means another value.
+    /// An absent field means different values to writers and readers.
     DefaultChanged = "DEFAULT_CHANGED",
     /// Fields that may be set together are read as members of one oneof.
     OneofJoined = "ONEOF_JOINED",
@@ -98,11 +98,11 @@
 /// Which of two versions writes and which reads.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Direction {
-    /// The newer version writes, the older reads.
+    /// The newer version writes, the older version reads.
     NewToOld,
-    /// The older version writes (or wrote), the newer reads.
+    /// The older version writes (or wrote), the newer version reads.
     OldToNew,
-    /// The new schema is checked against all earlier ones, whoever reads.
+    /// The new schema is checked against all earlier ones, independently of readers.
     History,
 }
 
--- a/crates/schema-compat/src/sample.rs
+++ b/crates/schema-compat/src/sample.rs
@@ -9,8 +9,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, HashMap};
 
-/// A record of the message `name`; the same seed gives the same record. None if the schema has no such
-/// message. Messages are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper ones stay absent, even where a
+/// A record of the message `name`; the same seed gives the same record. `None` if the schema has no such
+/// message. Messages are nested up to [`MAX_SAMPLE_DEPTH`] levels; deeper messages stay absent, even where a
 /// reader needs them.
 #[must_use]
 pub fn sample(schema: &Schema, name: &str, seed: u64) -> Option<DynamicMessage> {
--- a/crates/schema-compat/src/schema/bundled.rs
+++ b/crates/schema-compat/src/schema/bundled.rs
@@ -68,7 +68,8 @@
             else {
                 continue;
             };
-            // Imported again at a deeper level: move it to the end, so that the reversed order puts it first.
+            // A file that is imported again at a deeper level moves to the end, so that it comes first in the
+            // reversed order.
             order.retain(|known| *known != name);
             order.push(name);
             pending.extend(file_imports.iter().cloned());
--- a/crates/schema-compat/src/schema/descriptor_set.rs
+++ b/crates/schema-compat/src/schema/descriptor_set.rs
@@ -35,7 +35,7 @@
 }
 
 /// A pool of the files without the import of this crate's options, which would take most of a schema's
-/// memory. None if the files refer to their imports by index.
+/// memory. `None` if the files refer to their imports by index, or are not valid without that import.
 pub(super) fn pool_without_options(
     bundled: &BundledFiles,
     own: &[(String, DynamicMessage)],
--- a/crates/schema-compat/src/schema/mod.rs
+++ b/crates/schema-compat/src/schema/mod.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// Decodes the files of a set that are not bundled ones, by name and without source positions.
+/// Decodes the files of a set except the bundled ones. Each is returned with its name, without source
+/// positions.
 fn own_files(
     bundled: &BundledFiles,
     set: &RawDescriptorSet,
@@ -67,8 +68,7 @@
         if bundled.files.contains_key(&name) {
             continue;
         }
-        // The descriptor library accepts neither: it panics on another syntax and fails on a second file of
-        // the same name.
+        // The descriptor library panics on another syntax, and fails on a second file of the same name.
         if !["", "proto2", "proto3"].contains(&syntax.as_str()) {
             return Err(invalid(format!("file {name} has syntax {syntax}, expected proto2 or proto3")));
         }
@@ -87,7 +87,7 @@
     /// Compiles a schema from the text of one file.
     ///
     /// # Errors
-    /// As [`Schema::from_texts`].
+    /// As for [`Schema::from_texts`].
     pub fn from_text(text: &str) -> Result<Self, SchemaError> {
         Self::from_texts(&[("schema.proto", text)])
     }
@@ -96,7 +96,7 @@
     /// Imports of protobuf's own files and of [`OPTIONS_FILE`] need not be given.
     ///
     /// # Errors
-    /// A text that does not compile, with file and line; a limit that is exceeded.
+    /// A text does not compile (the error names file and line), or a limit is exceeded.
     pub fn from_texts(files: &[(&str, &str)]) -> Result<Self, SchemaError> {
         check_limit("files", files.len(), MAX_FILES)?;
         check_limit("bytes of text", files.iter().map(|(_, text)| text.len()).sum(), MAX_SCHEMA_BYTES)?;
@@ -114,7 +114,7 @@
     /// Decodes a schema from an encoded `google.protobuf.FileDescriptorSet`, with or without its imports.
     ///
     /// # Errors
-    /// Bytes that are not a valid set; a limit that is exceeded.
+    /// The bytes are not a valid set, or a limit is exceeded.
     pub fn from_set(bytes: &[u8]) -> Result<Self, SchemaError> {
         let invalid = |reason: String| SchemaError::Descriptor(reason);
         check_limit("bytes of descriptors", bytes.len(), 4 * MAX_SCHEMA_BYTES)?;
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -5,7 +5,7 @@
 use crate::rules::{Direction, Finding, Rule, Severity};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The history of one message or enum.
+/// The numbers and names that one message or enum has used or reserved.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub(crate) struct TypeHistory {
     /// Every name that each number had.
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Findings for numbers and names of a new version that earlier ones used or reserved otherwise.
+    /// Findings for numbers and names of a new version that earlier versions used differently or reserved.
     pub(crate) fn check(&self, model: &Model) -> Vec<Finding> {
         let mut findings = Vec::new();
         for symbols in all_symbols(model) {
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -29,9 +29,9 @@
     pub detail: String,
 }
 
-/// Translates records of a writer's version into a reader's version. It is the same for all readers of that
-/// version, whatever they use of it: fields that cannot be converted are left out, and readers that use them
-/// were rejected.
+/// Translates records of a writer's version into a reader's version. A translation is the same for all readers
+/// of that version, regardless of the fields that they use: fields that cannot be converted are left out, and
+/// readers that use such fields were rejected.
 #[derive(Clone, Debug)]
 pub struct Translation {
     /// The reader's descriptor and the index in `steps_by_pair`, by the writer's message name.
@@ -42,7 +42,7 @@
 }
 
 impl Translation {
-    /// The translation from `writer` to `reader`; `direction` tells which of the two is newer.
+    /// The translation from `writer` to `reader`; `direction` says which of the two versions is newer.
     #[must_use]
     pub fn between(writer: &Schema, reader: &Schema, direction: Direction) -> Self {
         Self::from_comparison(&compare(&writer.model, &reader.model, direction), reader)
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A map whose keys and values have the reader's types; `None` if they cannot represent some key or
+    /// A map whose keys and values have the reader's types; `None` if these types cannot represent some key or
     /// value.
     fn map_value(
         &self,
@@ -227,7 +227,7 @@
     }
 }
 
-/// The index of the child message's node, if the step only translates that message.
+/// The index of the pair of messages that the field holds, if the step only translates that message.
 fn child_pair(step: &FieldStep) -> Option<usize> {
     match &step.conversion {
         FieldConversion::Value(ValueConversion::Child(index))
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ReaderUsage {
     /// Paths such as `fleet.Event/permit.until_ms`, in the names of the reader's version; a path without
-    /// fields stands for the complete message, one that ends at a field of message type for all fields below
-    /// it; a map entry is not a separate step (`fleet.View/members.zone`). `None`: everything.
+    /// fields stands for the complete message, and a path that ends at a field of message type for all fields
+    /// of that message. A map entry is not a separate step (`fleet.View/members.zone`). `None`: everything.
     pub paths: Option<BTreeSet<String>>,
     /// Whether the reader tolerates unknown values of an open enum or a oneof where the schema does not
     /// specify it.
     pub tolerant: bool,
-    /// The encoding of the records.
+    /// The encoding in which the reader receives records.
     pub encoding: RecordEncoding,
 }
 
@@ -57,7 +57,7 @@
     /// Checks the declaration against [`MAX_USAGE_PATHS`], [`MAX_PATH_STEPS`] and [`MAX_NAME_BYTES`].
     ///
     /// # Errors
-    /// The limit that is exceeded.
+    /// A limit is exceeded; the error says which.
     pub fn check_limits(&self) -> Result<(), UsageError> {
         let Some(paths) = &self.paths else { return Ok(()) };
         if paths.len() > MAX_USAGE_PATHS {
@@ -80,13 +80,14 @@
 /// Why a usage declaration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UsageError {
-    /// More paths than [`MAX_USAGE_PATHS`].
+    /// The declaration has more paths than [`MAX_USAGE_PATHS`].
     #[error("usage declaration has {count} paths, at most {MAX_USAGE_PATHS} are allowed")]
     TooManyPaths {
         /// Number of declared paths.
         count: usize,
     },
-    /// A path with more steps than [`MAX_PATH_STEPS`].
+    /// A path has more than [`MAX_PATH_STEPS`] steps, or more bytes than [`MAX_PATH_STEPS`] names of
+    /// [`MAX_NAME_BYTES`].
     #[error("usage path {start} is longer than {MAX_PATH_STEPS} steps")]
     PathTooLong {
         /// The first characters of the path.
