--- a/crates/schema-compat/tests/common/mod.rs
+++ b/crates/schema-compat/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the tests: the corpus, generated edits, and an oracle that is independent of the rules.
+//! Helpers shared by the tests: the corpus, generated edits, and an oracle that does not use the rules.
 #![allow(dead_code, missing_docs)]
 
 pub mod edits;
--- a/crates/schema-compat/tests/common/oracle.rs
+++ b/crates/schema-compat/tests/common/oracle.rs
@@ -11,8 +11,8 @@
     pub reader: &'a GeneratedSchema,
     /// Identities of the fields of `R` and `N` that the reader uses; `None` if it uses all.
     pub used: Option<BTreeSet<u32>>,
-    /// Whether the writer is newer than the reader, so that a field that it lacks was removed.
-    pub down: bool,
+    /// Whether the writer is newer than the reader, so that a field that the writer lacks was removed.
+    pub writer_is_newer: bool,
     /// Whether declared replacement values count as meant.
     pub translated: bool,
 }
@@ -49,7 +49,7 @@
             let Some(from) = self.writer.fields[message_index].iter().find(|from| from.id == to.id) else {
                 let is_replaced = self.translated
                     && self.writer.removed[message_index].first().is_some_and(|(name, _)| *name == to.name);
-                if self.down && !is_replaced {
+                if self.writer_is_newer && !is_replaced {
                     return Some(format!("{} was removed", to.name));
                 }
                 continue;
@@ -130,8 +130,8 @@
     }
 }
 
-/// Exact for what samples hold: whole numbers beyond 53 bits are told apart by their digits where both are
-/// whole.
+/// The number that a value holds; `None` if it holds a text or a message. Integers beyond 53 bits are rounded,
+/// so that two different ones may compare as equal.
 fn number(value: &Value) -> Option<f64> {
     Some(match value {
         Value::Bool(one) => f64::from(u8::from(*one)),
--- a/crates/schema-compat/tests/corpus.rs
+++ b/crates/schema-compat/tests/corpus.rs
@@ -1,4 +1,4 @@
-//! Hand-written schema pairs for each rule. Disabling a rule must change the results of its cases.
+//! Tests hand-written schema pairs for each rule. Disabling a rule must change the results of its cases.
 
 mod common;
 
--- a/crates/schema-compat/tests/interleavings.rs
+++ b/crates/schema-compat/tests/interleavings.rs
@@ -9,7 +9,7 @@
 use sprucelink_schema_compat::{CommandOutcome, Registry, RegistryCommand, Schema};
 use std::collections::{HashMap, HashSet};
 
-/// One step of time. A lease lasts one tick, its margin another.
+/// One step of time: a lease lasts one tick, and its margin one more.
 const TICK_MS: u64 = LEASE_MARGIN_MS;
 
 /// The expected breaks, written by hand: the body written, the body read, and whether each of the three
@@ -148,7 +148,8 @@
     /// Counts the subscribers with a running lease that a schema in force breaks.
     fn check(&mut self, world: &World) {
         for schema_version in world.registry.versions().filter(|one| one.in_force) {
-            // Versions are numbered in the order of acceptance: the digest tells which body this is.
+            // A version's number depends on the order of acceptance, so only its digest tells which of the
+            // bodies A, B and C it has.
             let body = self.body(schema_version.digest);
             for (reader, view) in world.views.iter().enumerate() {
                 let (SubscriberView::Active { version, until }
@@ -199,7 +200,8 @@
         }
         stack.push(later);
         if let Some(pending) = &world.pending {
-            // Applies the checked change on top of the subscriptions made since the check.
+            // Applies the change without checking it again: the subscriptions made since the check are added
+            // to the registry that has the change.
             let mut registry = Registry::import(&pending.export()).unwrap();
             for (subscriber_index, view) in world.views.iter().enumerate() {
                 if let SubscriberView::Active { version, .. } = view {
@@ -257,8 +259,7 @@
                     let (mut next, mut outcome) =
                         self.apply(world, self.subscription(subscriber_index, schema_version.version));
                     if self.fault == Fault::NewestOnly && matches!(outcome, CommandOutcome::Rejected(_)) {
-                        // Repeats the check with no other version than the newest and the subscriber's own in
-                        // force.
+                        // Repeats the check with only the newest version in force.
                         let newest = world.registry.versions().map(|one| one.version).max().unwrap();
                         let mut newest_only = world.clone();
                         for other in 1..newest {
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -32,7 +32,8 @@
     direction: Direction,
 }
 
-/// Checks a change in one direction, without the history rules, which apply whatever a reader receives.
+/// Checks a change in one direction, without the history rules, which do not depend on the records that a
+/// reader receives.
 fn check_pair(old: &GeneratedSchema, new: &GeneratedSchema, usage: &ReaderUsage, down: bool) -> Pair {
     let (old, new) = (schema(&old.body()), schema(&new.body()));
     let directions = if down { Directions::NEW_TO_OLD } else { Directions::OLD_TO_NEW };
@@ -78,7 +79,13 @@
         let (writer, reader) = if down { (&new, &old) } else { (&old, &new) };
         let verdict = worst_severity(&pair.findings);
         *counted.borrow_mut().entry((verdict, down)).or_default() += 1;
-        let oracle = Oracle { writer, reader, used, down, translated: verdict == Severity::Translate };
+        let oracle = Oracle {
+            writer,
+            reader,
+            used,
+            writer_is_newer: down,
+            translated: verdict == Severity::Translate,
+        };
         let translation = Translation::between(&pair.writer, &pair.reader, pair.direction);
         let loss_for_seed = |seed: u64| {
             let record = sample(&pair.writer, "t.Top", seed).unwrap();
--- a/crates/schema-compat/tests/translate.rs
+++ b/crates/schema-compat/tests/translate.rs
@@ -1,4 +1,4 @@
-//! The values that translations produce.
+//! Tests of the values that translations produce, and of values that they cannot convert.
 
 mod common;
 
