--- a/crates/capture/examples/belief.rs
+++ b/crates/capture/examples/belief.rs
@@ -54,12 +54,13 @@
     busy_unused_s: f64,
     /// Time in which engines were estimated to be full without an attempt of this manager.
     full_unused_s: f64,
-    /// Time in which engines were estimated to be busy without an attempt of this manager, while requests were
-    /// queued.
+    /// Time in which engines were estimated to be busy without an attempt of this manager, while requests
+    /// were queued.
     busy_unused_queued_s: f64,
     /// Number of rejected requests.
     rejected: u64,
-    /// Number of requests rejected while an engine was estimated to be busy without an attempt of this manager.
+    /// Number of requests rejected while an engine was estimated to be busy without an attempt of this
+    /// manager.
     rejected_with_busy_unused: u64,
     /// Number of requests that arrived.
     arrived: u64,
--- a/crates/capture/src/codec/values.rs
+++ b/crates/capture/src/codec/values.rs
@@ -1,5 +1,6 @@
-//! Converts enumerations and load reports to protobuf values and back. The format stores an enumeration value as its index in one of the
-//! lists in this file: new values may only be appended, or older captures would be decoded wrongly.
+//! Converts enumerations and load reports to protobuf values and back. The format stores an enumeration value
+//! as its index in one of the lists in this file: new values may only be appended, or older captures would be
+//! decoded wrongly.
 
 use super::DecodeError;
 use crate::pb;
--- a/crates/capture/src/frame.rs
+++ b/crates/capture/src/frame.rs
@@ -104,8 +104,8 @@
         return FrameRead::Damaged("the frame kind is unknown");
     };
     let Some(body) = rest.get(HEADER_BYTES..HEADER_BYTES + len) else {
-        // A damaged length may reach beyond the end of the file: an intact frame after it shows that the file was
-        // not truncated here.
+        // A damaged length may reach beyond the end of the file: an intact frame after it shows that the file
+        // was not truncated here.
         return match find_frame(bytes, offset + 1) {
             Some(_) => FrameRead::Damaged("the length extends over an intact frame"),
             None => FrameRead::Truncated,
--- a/crates/capture/src/identity.rs
+++ b/crates/capture/src/identity.rs
@@ -1,4 +1,5 @@
-//! Identifies the build that records: its version, the policy's source text, and its floating-point functions.
+//! Identifies the build that records: its version, the policy's source text, and its floating-point
+//! functions.
 
 use sprucelink_policy::SOURCES;
 use std::env::consts::{ARCH, OS};
--- a/crates/capture/src/replay/outcome_policy.rs
+++ b/crates/capture/src/replay/outcome_policy.rs
@@ -18,9 +18,9 @@
     #[default]
     Recorded,
     /// The policy is given the parts of an outcome that depend on the request, but not those that depend on
-    /// the engine. An attempt on another engine than was recorded ends at the recorded time, as succeeded or as cancelled, with the recorded query cost
-    /// and without a load report, and its progress notes are left out. An attempt that was not recorded ends
-    /// only when the policy cancels it.
+    /// the engine. An attempt on another engine than was recorded ends at the recorded time, as succeeded or
+    /// as cancelled, with the recorded query cost and without a load report, and its progress notes are left
+    /// out. An attempt that was not recorded ends only when the policy cancels it.
     Matched,
 }
 
@@ -42,8 +42,8 @@
     else {
         return Some(event.clone());
     };
-    // The engine is unknown if the attempt was not recorded, or only as part of a digest: the event then applies
-    // to the attempt with the same number.
+    // The engine is unknown if the attempt was not recorded, or only as part of a digest: the event then
+    // applies to the attempt with the same number.
     let Some(recorded_engine) = recorded.engine_of(*id, *attempt) else { return Some(event.clone()) };
     let (own_attempt, own_engine) = policy.in_flight_attempt(*id)?;
     if own_attempt == *attempt && own_engine == recorded_engine {
--- a/crates/capture/src/rules.rs
+++ b/crates/capture/src/rules.rs
@@ -16,8 +16,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "rule", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Rule {
-    /// No attempt is forwarded to an engine later than the settings' drain grace after the policy was told that the
-    /// engine drains or is withdrawn.
+    /// No attempt is forwarded to an engine later than the settings' drain grace after the policy was told
+    /// that the engine drains or is withdrawn.
     Drain {},
     /// A request has at most one attempt in flight.
     #[serde(rename = "one_out")]
--- a/crates/capture/src/rules/checker.rs
+++ b/crates/capture/src/rules/checker.rs
@@ -29,8 +29,8 @@
     requests: BTreeMap<RequestId, RequestState>,
     /// Deadlines of the requests without a final response.
     deadlines: BTreeSet<(Timestamp, RequestId)>,
-    /// Time at which the policy was told that an engine drains or is withdrawn, for engines that are not ready
-    /// again.
+    /// Time at which the policy was told that an engine drains or is withdrawn, for engines that are not
+    /// ready again.
     drained_or_withdrawn_at: BTreeMap<EngineId, Timestamp>,
     /// Times of the arrivals within the window of the retry budget.
     arrivals: VecDeque<Timestamp>,
--- a/crates/capture/src/settings.rs
+++ b/crates/capture/src/settings.rs
@@ -1,4 +1,5 @@
-//! The recorder's settings, in JSON5 (`deploy/capture.json5`; docs/operators/capture.md explains each setting).
+//! The recorder's settings, in JSON5 (`deploy/capture.json5`; docs/operators/capture.md explains each
+//! setting).
 
 use crate::error::SettingsError;
 use crate::ring::RingLimits;
@@ -24,8 +25,8 @@
     /// Age of its last write at which a file is removed, in minutes: 1 to 100,000.
     #[serde(default = "ring_minutes")]
     pub ring_minutes: u64,
-    /// Size at which a segment ends, in MB before compression: 1 to 1,024. Shorter segments lose less to damage and
-    /// cost more checkpoints.
+    /// Size at which a segment ends, in MB before compression: 1 to 1,024. Shorter segments lose less to
+    /// damage and cost more checkpoints.
     #[serde(default = "segment_mb")]
     pub segment_mb: u64,
     /// Age at which a segment ends, in seconds: 1 to 86,400.
--- a/crates/capture/tests/recording.rs
+++ b/crates/capture/tests/recording.rs
@@ -244,8 +244,8 @@
     assert!(end - contents.segments[1].until() < TimeDelta::from_micros(1_000_000));
 }
 
-/// The system's clock may be set back, although the policy's time never goes back: a replay must keep the order
-/// of the records and not sort them by time.
+/// The system's clock may be set back, although the policy's time never goes back: a replay must keep the
+/// order of the records and not sort them by time.
 #[test]
 fn clock_steps_are_replayed_in_recorded_order() {
     let memory = MemoryStore::default();
--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -24,8 +24,8 @@
     folder: PathBuf,
     version: String,
     clock_offset_ms: i64,
-    /// Milliseconds after its start at which a process exits to be restarted as the version `next`, by name of
-    /// the process; only processes of version `v1` do so.
+    /// Milliseconds after its start at which a process exits to be restarted as the version `next`, by name
+    /// of the process; only processes of version `v1` do so.
     #[serde(default)]
     out_ms: BTreeMap<String, u64>,
     /// The version that processes request; empty: they exit without naming one.
--- a/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
+++ b/crates/cluster-harness/src/bin/sprucelink-cluster-harness.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// Parses the value of `--share`: whether the fleet pools its retry budgets, and whether it divides slow-start
-/// parts by live members.
+/// Parses the value of `--share`: whether the fleet pools its retry budgets, and whether it divides
+/// slow-start parts by live members.
 fn parse_share(word: &str) -> Result<(bool, bool), CommandLineError> {
     match word {
         "none" => Ok((false, false)),
--- a/crates/cluster-harness/src/run/failpoint_faults.rs
+++ b/crates/cluster-harness/src/run/failpoint_faults.rs
@@ -88,8 +88,8 @@
         });
     }
 
-    /// Injects the fault of manager `i` at a failpoint that it has reached, if one is armed, and schedules the
-    /// process's restart or resumption.
+    /// Injects the fault of manager `i` at a failpoint that it has reached, if one is armed, and schedules
+    /// the process's restart or resumption.
     fn inject(&mut self, i: usize, point: &str) -> Result<(), RunError> {
         let Some(fault) = self.failpoint_faults.disarm(i, point) else { return Ok(()) };
         self.history.record(Event::FailpointHit { process: format!("n{i}"), point: point.to_owned() });
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -61,8 +61,8 @@
 }
 
 impl Subscribers {
-    /// Starts the scenario's subscribers, each at its time after `start`. They connect to `managers`, given by
-    /// name and address.
+    /// Starts the scenario's subscribers, each at its time after `start`. They connect to `managers`, given
+    /// by name and address.
     pub fn start(
         scenario: &Scenario,
         start: Instant,
--- a/crates/query-fingerprint/src/cache.rs
+++ b/crates/query-fingerprint/src/cache.rs
@@ -136,8 +136,8 @@
         Counters { entries: self.slots.len(), bytes: self.bytes, ..self.counters }
     }
 
-    /// Takes one step towards an eviction: takes the oldest entry of a queue, and evicts it unless it has been
-    /// read; a read entry is put at the back of the main queue.
+    /// Takes one step towards an eviction: takes the oldest entry of a queue, and evicts it unless it has
+    /// been read; a read entry is put at the back of the main queue.
     fn step_eviction(&mut self) {
         let max_small = (self.bounds.entries as f64 * SMALL_QUEUE_FRACTION).max(1.0) as usize;
         if self.small_queue.len() > max_small || self.main_queue.is_empty() {
--- a/crates/query-fingerprint/src/cost.rs
+++ b/crates/query-fingerprint/src/cost.rs
@@ -18,8 +18,8 @@
 const MIN_SPREAD: f64 = 0.1;
 /// Initial spread, as a difference of logarithms: a factor of two up or down.
 const INITIAL_SPREAD: f64 = 0.7;
-/// Number of consecutive answers beyond the spread on one side after which the cost counts as changed. With one bad plan
-/// in twenty, six in a row happen once in 64 million.
+/// Number of consecutive answers beyond the spread on one side after which the cost counts as changed. With
+/// one bad plan in twenty, six in a row happen once in 64 million.
 const SHIFT_RUN: u32 = 6;
 /// Half-life of the weight of a learned mean, in seconds: tables grow from day to day.
 const HALF_LIFE_S: f64 = 12.0 * 3600.0;
--- a/crates/query-fingerprint/src/normal/aliases.rs
+++ b/crates/query-fingerprint/src/normal/aliases.rs
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Whether the token at `index` is followed by a common table expression: it is WITH, or the comma between
-    /// two such expressions.
+    /// Whether the token at `index` is followed by a common table expression: it is WITH, or the comma
+    /// between two such expressions.
     fn begins_cte(&self, index: usize) -> bool {
         let part = &self.parts[index];
         let is_with = part.is_word("with")
--- a/crates/schema-compat/examples/measure.rs
+++ b/crates/schema-compat/examples/measure.rs
@@ -14,8 +14,8 @@
 /// Number of subscribers: the registry's limit.
 const SUBSCRIBERS: u32 = 4_096;
 
-/// The schema of a record of 200 fields in ten messages. Each version adds a field; the last version also adds
-/// an enum value that must be translated for old readers.
+/// The schema of a record of 200 fields in ten messages. Each version adds a field; the last version also
+/// adds an enum value that must be translated for old readers.
 fn schema_text(version: u32, last: bool) -> String {
     let mut text =
         "syntax = \"proto3\"; package m; import \"sprucelink/compat.proto\";\nmessage R {\n".to_string();
--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -104,8 +104,8 @@
     findings
 }
 
-/// Findings for the schema `new` of the rules on numbers and names that earlier versions used or reserved (the
-/// history rules). `before` holds these versions, oldest first.
+/// Findings for the schema `new` of the rules on numbers and names that earlier versions used or reserved
+/// (the history rules). `before` holds these versions, oldest first.
 #[must_use]
 pub fn history_findings(before: &[&Schema], new: &Schema) -> Vec<Finding> {
     let mut symbol_history = SymbolHistory::default();
--- a/crates/schema-compat/src/comparison/context.rs
+++ b/crates/schema-compat/src/comparison/context.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The writer's field that corresponds to a field of the reader: it is the same field by name, and has the
-    /// same number or one that is declared as a former number.
+    /// The writer's field that corresponds to a field of the reader: it is the same field by name, and has
+    /// the same number or one that is declared as a former number.
     pub(crate) fn counterpart<'m>(&self, writer: &'m Message, reader: &Field) -> Option<&'m Field> {
         let is_renumbered = |field: &&Field| match self.direction {
             Direction::NewToOld => field.former_numbers.contains(&reader.number),
--- a/crates/schema-compat/src/explain.rs
+++ b/crates/schema-compat/src/explain.rs
@@ -87,8 +87,8 @@
         text
     }
 
-    /// The report as one JSON object with `verdict`, `old`, `new` and `findings`; each finding has `severity`,
-    /// `rule`, `path`, `direction` and `detail`.
+    /// The report as one JSON object with `verdict`, `old`, `new` and `findings`; each finding has
+    /// `severity`, `rule`, `path`, `direction` and `detail`.
     #[must_use]
     pub fn json(&self) -> String {
         let findings: Vec<_> = (self.findings.iter())
--- a/crates/schema-compat/src/model/mod.rs
+++ b/crates/schema-compat/src/model/mod.rs
@@ -160,8 +160,8 @@
         self.by_name.get(name).copied()
     }
 
-    /// The messages marked as records. If none is marked: the messages that no other message refers to, or all
-    /// messages if each of them is referred to.
+    /// The messages marked as records. If none is marked: the messages that no other message refers to, or
+    /// all messages if each of them is referred to.
     fn find_roots(&self) -> Vec<usize> {
         let own = || (0..self.messages.len()).filter(|&index| self.messages[index].own);
         let marked: Vec<usize> = own().filter(|&index| self.messages[index].record).collect();
--- a/crates/schema-compat/src/registry/apply.rs
+++ b/crates/schema-compat/src/registry/apply.rs
@@ -74,8 +74,8 @@
         if !self.subscriptions.contains_key(&key) && self.subscriptions.len() >= MAX_SUBSCRIBERS {
             return Err(limit_reached("subscribers", MAX_SUBSCRIBERS));
         }
-        // No schema in force breaks an existing subscription, so a subscription equal to an existing one needs
-        // no check: hundreds of subscribers reconnect at once when a manager fails.
+        // No schema in force breaks an existing subscription, so a subscription equal to an existing one
+        // needs no check: hundreds of subscribers reconnect at once when a manager fails.
         if !self.readers(&name).any(|(_, other)| other.version == version && other.usage == usage) {
             let mut violations = ViolationSet::default();
             // The subscriber's own version is checked as well: the declared paths must exist in it.
@@ -133,8 +133,8 @@
     ) -> Result<CommandOutcome, CommandRejection> {
         let key = (publisher, subscriber);
         let subscription = self.subscriptions.get(&key).ok_or(CommandRejection::UnknownSubscriber)?;
-        // The lease has not expired if a renewal precedes this command in the journal, or if the leader's clock
-        // runs ahead.
+        // The lease has not expired if a renewal precedes this command in the journal, or if the leader's
+        // clock runs ahead.
         let until_ms = subscription.until_ms.saturating_add(LEASE_MARGIN_MS);
         if self.now_ms < until_ms {
             return Err(CommandRejection::LeaseNotExpired { until_ms });
--- a/crates/schema-compat/src/registry/mod.rs
+++ b/crates/schema-compat/src/registry/mod.rs
@@ -34,8 +34,8 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RegistryCommand {
     /// A publisher proposes a schema. An accepted schema is in force beside earlier ones until it is
-    /// withdrawn. Proposing the same schema and declarations again is idempotent while the schema is in force;
-    /// after a withdrawal the schema is checked again.
+    /// withdrawn. Proposing the same schema and declarations again is idempotent while the schema is in
+    /// force; after a withdrawal the schema is checked again.
     Propose {
         /// Name of the publisher.
         publisher: String,
@@ -148,7 +148,8 @@
     /// The publisher has no such version, or the version was retired.
     #[error("no such version")]
     UnknownVersion,
-    /// The publisher has no subscriber of this name. A subscriber whose lease has expired must subscribe again.
+    /// The publisher has no subscriber of this name. A subscriber whose lease has expired must subscribe
+    /// again.
     #[error("no such subscriber, or its lease has expired")]
     UnknownSubscriber,
     /// The lease and its margin have not expired.
--- a/crates/schema-compat/src/registry/translations.rs
+++ b/crates/schema-compat/src/registry/translations.rs
@@ -17,8 +17,8 @@
         publisher_subscriptions.map(|((_, subscriber), subscription)| (subscriber.as_str(), subscription))
     }
 
-    /// Updates the translations of one publisher to those that its subscribers need; existing translations are
-    /// reused.
+    /// Updates the translations of one publisher to those that its subscribers need; existing translations
+    /// are reused.
     pub(crate) fn refresh_translations(&mut self, name: &str) {
         let Some(publisher) = self.publishers.get(name) else { return };
         let read_versions: BTreeSet<u32> =
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -29,9 +29,9 @@
     pub detail: String,
 }
 
-/// Translates records of a writer's version into a reader's version. A translation is the same for all readers
-/// of that version, regardless of the fields that they use: fields that cannot be converted are left out, and
-/// readers that use such fields were rejected.
+/// Translates records of a writer's version into a reader's version. A translation is the same for all
+/// readers of that version, regardless of the fields that they use: fields that cannot be converted are left
+/// out, and readers that use such fields were rejected.
 #[derive(Clone, Debug)]
 pub struct Translation {
     /// The reader's descriptor and the index in `steps_by_pair`, by the writer's message name.
@@ -175,8 +175,8 @@
         }
     }
 
-    /// A map whose keys and values have the reader's types; `None` if these types cannot represent some key or
-    /// value.
+    /// A map whose keys and values have the reader's types; `None` if these types cannot represent some key
+    /// or value.
     fn map_value(
         &self,
         conversion: &ValueConversion,
--- a/crates/schema-compat/tests/common/oracle.rs
+++ b/crates/schema-compat/tests/common/oracle.rs
@@ -130,8 +130,8 @@
     }
 }
 
-/// The number that a value holds; `None` if it holds a text or a message. Integers beyond 53 bits are rounded,
-/// so that two different ones may compare as equal.
+/// The number that a value holds; `None` if it holds a text or a message. Integers beyond 53 bits are
+/// rounded, so that two different ones may compare as equal.
 fn number(value: &Value) -> Option<f64> {
     Some(match value {
         Value::Bool(one) => f64::from(u8::from(*one)),
