--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -27,7 +27,7 @@
     Lost,
 }
 
-/// A request of a client.
+/// A request that a client sends on a connection of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
     /// Id of the request; contains the index of the manager, see [`crate::ledger::request_id`].
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -6,7 +6,7 @@
 /// Time for which an engine that fell over closes every connection.
 const DOWN_FOR: Duration = Duration::from_secs(2);
 
-/// The properties of an engine.
+/// The fixed properties of an engine: its cores, the work of its queries, and its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
     /// Number of cores.
@@ -57,7 +57,7 @@
 }
 
 impl Machine {
-    /// An engine that starts now.
+    /// An engine that starts now, cold if the spec has a slow start.
     pub fn new(spec: Spec, now: Instant) -> Machine {
         Machine {
             spec,
@@ -122,7 +122,7 @@
         self.queries
     }
 
-    /// Number of threads at work.
+    /// Number of threads at work on queries in flight.
     pub fn threads(&self) -> f64 {
         self.threads
     }
--- a/crates/cluster-harness/src/fault_proxy/tcp.rs
+++ b/crates/cluster-harness/src/fault_proxy/tcp.rs
@@ -143,7 +143,7 @@
     Reset,
 }
 
-/// Outcome of a read.
+/// Outcome of waiting for the next chunk of one direction.
 enum Read {
     /// Number of bytes that were read; 0 if the sender has closed this direction.
     Bytes(usize),
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -17,7 +17,7 @@
     /// The file could not be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The error from the operating system.
         source: std::io::Error,
@@ -25,7 +25,7 @@
     /// A line of the file is not a valid entry.
     #[error("{}: {}", path.display(), error_chain(source))]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The line and what is wrong with it.
         source: sprucelink_history_checker::read::HistoryError,
@@ -47,7 +47,7 @@
     /// The file could not be written.
     #[error("{0}")]
     Write(#[source] std::io::Error),
-    /// The history was ended.
+    /// The history was ended before the event.
     #[error("the history has ended")]
     Ended,
 }
--- a/crates/cluster-harness/src/ledger.rs
+++ b/crates/cluster-harness/src/ledger.rs
@@ -51,11 +51,11 @@
 /// An attempt that reached an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
-    /// Time since the start of the run.
+    /// Time of the attempt's arrival at the engine, since the start of the run.
     pub at: Duration,
     /// Index of the manager whose clients sent the request.
     pub manager: u16,
-    /// Index of the engine.
+    /// Index of the engine in the run.
     pub engine: u16,
 }
 
@@ -148,7 +148,7 @@
         self.with(|l| l.counts.cold_engine_falls += 1);
     }
 
-    /// The counts so far.
+    /// A copy of the counts so far.
     pub fn read(&self) -> AttemptCounts {
         self.with(|l| l.counts)
     }
--- a/crates/cluster-harness/src/lists.rs
+++ b/crates/cluster-harness/src/lists.rs
@@ -31,7 +31,7 @@
 #[error("too many list events: at most {MAX_EVENTS} per list service")]
 pub struct TooManyEvents;
 
-/// How the service answers calls.
+/// The way in which a running service answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// The service answers with the events, and sends new ones as they are published.
@@ -59,7 +59,7 @@
 pub struct ListService {
     /// Address on which the service listens.
     pub address: SocketAddr,
-    /// Calls to the service.
+    /// Counter of the calls to the service, answered or not.
     pub calls: Counter,
     state: watch::Sender<State>,
     events: Arc<Mutex<Vec<String>>>,
--- a/crates/cluster-harness/src/procs.rs
+++ b/crates/cluster-harness/src/procs.rs
@@ -46,7 +46,7 @@
     pub address: SocketAddr,
     /// Zone of the engine.
     pub zone: String,
-    /// `ready`, `draining` or `gone`.
+    /// Phase of the engine on the list: `ready`, `draining` or `gone`.
     pub phase: &'static str,
     /// Unix time of the engine's last cold start, in milliseconds; 0: the engine started warm.
     pub since_ms: u128,
@@ -108,7 +108,7 @@
     child: Option<Child>,
     log: PathBuf,
     config: PathBuf,
-    /// Number of starts so far.
+    /// Number of starts of the manager's process so far.
     pub starts: u32,
 }
 
--- a/crates/cluster-harness/src/report.rs
+++ b/crates/cluster-harness/src/report.rs
@@ -64,7 +64,7 @@
     pub scenario: String,
     /// Whether the managers ran with settings of the cold start.
     pub cold_start: bool,
-    /// Number of managers.
+    /// Number of managers in the scenario.
     pub managers: usize,
     /// Number of managers that were ready at least once.
     pub became_ready: usize,
@@ -224,7 +224,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct ChartError {
-    /// The chart's file.
+    /// Path of the chart's file.
     pub path: PathBuf,
     /// The error of the drawing library or the file.
     pub source: Box<dyn std::error::Error>,
--- a/crates/cluster-harness/src/scenario/actions.rs
+++ b/crates/cluster-harness/src/scenario/actions.rs
@@ -151,7 +151,7 @@
     }
 }
 
-/// How the list service answers calls.
+/// The way in which the list services answer calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListServiceMode {
@@ -240,7 +240,7 @@
     },
 }
 
-/// An action of a step.
+/// An action of a step or after a failpoint fault.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
--- a/crates/cluster-harness/src/scenario/error.rs
+++ b/crates/cluster-harness/src/scenario/error.rs
@@ -29,9 +29,9 @@
     /// A part of the scenario breaks a rule.
     #[error("{path}: {source}")]
     At {
-        /// The part's path.
+        /// Path of the part in the scenario.
         path: String,
-        /// The violation in the part.
+        /// The rule that the part breaks.
         source: Box<InvalidScenario>,
     },
     /// A template is unknown or names an unknown port.
@@ -54,17 +54,17 @@
     /// A name is empty, too long, contains characters that are not allowed, or begins with a dot.
     #[error("{path}: expected 1 to 64 letters, digits, '.', '-' or '_', not '.' first, found {name:?}")]
     InvalidName {
-        /// The name's path.
+        /// Path of the field with the name.
         path: String,
-        /// The name.
+        /// The invalid name.
         name: String,
     },
     /// A text is not a JSON pointer, or too long.
     #[error("{path}: expected a JSON pointer such as /prev, of at most 128 bytes, found {pointer:?}")]
     InvalidPointer {
-        /// The pointer's path.
+        /// Path of the field with the pointer.
         path: String,
-        /// The text.
+        /// The invalid text.
         pointer: String,
     },
     /// A range of the fleet lies outside 0 to 1, or ends before it begins.
@@ -81,7 +81,7 @@
     /// No manager has this name.
     #[error("unknown manager {name:?}: expected n0 to n{last}")]
     UnknownManager {
-        /// The name.
+        /// The unknown name.
         name: String,
         /// The index of the last manager.
         last: usize,
--- a/crates/cluster-harness/src/scenario/mod.rs
+++ b/crates/cluster-harness/src/scenario/mod.rs
@@ -46,14 +46,14 @@
 pub struct Scenario {
     /// Name of the scenario in tables and file names.
     pub name: String,
-    /// Number of managers.
+    /// Number of managers; 1 to 1,000, and at most [`MAX_PAIRED_MANAGERS`] with `pairs`.
     pub managers: usize,
     /// Time over which the managers start one after the other, in milliseconds; 0: all at once.
     pub start_over_ms: f64,
     /// Fractions of the managers in the groups `a`, `b`, ...; they add up to 1. With more than one group, or
     /// with network faults, all traffic goes through the fault proxy.
     pub groups: Vec<f64>,
-    /// The engines at the start.
+    /// Number and properties of the engines when the run begins.
     pub engines: Engines,
     /// Number of zones, to which engines are assigned in turn; 1 to 4.
     pub zones: usize,
@@ -71,7 +71,7 @@
     pub load: Load,
     /// How the list services answer at the start.
     pub lists: ListServiceMode,
-    /// Duration of the run, in seconds.
+    /// Duration of the run, in seconds; 0.5 to 600.
     pub seconds: f64,
     /// Time after the publication of a drain during which attempts may still reach the engine, in
     /// milliseconds; 0 to 60,000. The protocol's value is 550; tests on busy machines need more.
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Engines {
-    /// Number of engines.
+    /// Number of engines when the run begins; steps can add more.
     pub count: usize,
     /// Number of engines, the first ones, that are in slow start when the run begins.
     pub cold: usize,
@@ -70,7 +70,7 @@
 pub struct Membership {
     /// Settings of the membership protocol.
     pub protocol: ProtocolConfig,
-    /// Budgets that the fleet shares.
+    /// Budgets that the fleet shares: retry budgets and slow-start parts.
     pub share: SharingConfig,
 }
 
@@ -246,7 +246,7 @@
 pub struct SchemaMark {
     /// The record's name.
     pub record: String,
-    /// JSON pointer to the publisher.
+    /// JSON pointer to the publisher's name.
     pub publisher: String,
     /// JSON pointer to the list of subscribers' versions that can read the schema.
     pub reads: String,
--- a/crates/cluster-harness/src/subscribers/reader.rs
+++ b/crates/cluster-harness/src/subscribers/reader.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("event {event:?}: {source}")]
 pub struct InvalidEventCursor {
-    /// The event's name.
+    /// Name of the event.
     event: String,
     source: ParseCursorError,
 }
--- a/crates/cluster-harness/src/subscribers/sse.rs
+++ b/crates/cluster-harness/src/subscribers/sse.rs
@@ -12,7 +12,7 @@
 /// A parsed item of an event stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An event.
+    /// An event with data.
     Event {
         /// Name of the event; empty if the event has none.
         name: String,
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -76,7 +76,7 @@
 /// a port of a name.
 ///
 /// # Errors
-/// The first unknown template.
+/// If a template is unknown or names an unknown port; the error has the first one.
 pub fn check(text: &str, is_port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     let known = |inside: &str| {
         let mut parts = inside.split(':');
@@ -97,7 +97,7 @@
 /// Checks every string in a JSON value as [`check`] does.
 ///
 /// # Errors
-/// The first unknown template.
+/// If a template is unknown or names an unknown port; the error has the first one.
 pub fn check_value(value: &Value, is_port: &impl Fn(&str) -> bool) -> Result<(), TemplateError> {
     match value {
         Value::String(text) => check(text, is_port),
@@ -138,7 +138,7 @@
     /// Replaces the templates in a text by their values.
     ///
     /// # Errors
-    /// The first template without a value.
+    /// If a template has no value in this text; the error has the first one.
     pub fn fill(&self, text: &str) -> Result<String, TemplateError> {
         replace(text, |inside| self.value_of(inside))
     }
