--- a/crates/policy/src/events.rs
+++ b/crates/policy/src/events.rs
@@ -1,4 +1,5 @@
-//! Events: the inputs that a manager reports to the decision module. Times are on the caller's clock.
+//! Events: the inputs that a manager reports to the decision module. Timestamps are on the clock
+//! of the caller of [`Policy::handle`](crate::Policy::handle).
 
 use crate::ids::{ClassId, EngineId, RequestId};
 use serde::{Deserialize, Serialize};
@@ -28,11 +29,11 @@
     pub cell: u32,
     /// Whether the engine accepts requests.
     pub state: EngineState,
-    /// Start time of its process; `None` if the process did not start recently.
+    /// Start time of the engine's process; `None` if the process did not start recently.
     pub since: Option<Timestamp>,
 }
 
-/// Kind of an update of the endpoint list.
+/// What an update of the endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointUpdate {
     /// Only the entries that changed.
@@ -49,19 +50,19 @@
 /// A load report of an engine. Figures that the engine does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Queries in progress.
+    /// Number of queries in progress on the engine.
     #[serde(rename = "in_hand")]
     pub queries_in_flight: Option<f64>,
-    /// Queries waiting for memory.
+    /// Number of queries on the engine that wait for memory.
     #[serde(rename = "waiting")]
     pub queries_waiting_for_memory: Option<f64>,
-    /// Fraction of the cores in use, 0 to 1.
+    /// Fraction of the engine's cores in use, 0 to 1.
     #[serde(rename = "busy")]
     pub busy_core_fraction: Option<f64>,
-    /// Fraction of the memory granted, 0 to 1.
+    /// Fraction of the engine's memory that is granted to queries, 0 to 1.
     #[serde(rename = "memory")]
     pub granted_memory_fraction: Option<f64>,
-    /// Fraction of the disks in use, 0 to 1.
+    /// Fraction of the engine's disks in use, 0 to 1.
     #[serde(rename = "disks")]
     pub busy_disk_fraction: Option<f64>,
 }
@@ -69,26 +70,26 @@
 /// Outcome of an attempt or a load probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The engine served the request.
+    /// The engine answered the request or the probe.
     #[serde(rename = "Delivered")]
     Succeeded,
     /// The engine responded with an error; the attempt may have executed.
     #[serde(rename = "Error")]
     EngineError,
-    /// The engine rejected the attempt because it was at its limit; never executed.
+    /// The engine rejected the attempt because it was at its limit; the attempt never executed.
     #[serde(rename = "Shed")]
     RejectedByEngine,
     /// The client's deadline passed without a response; the attempt may have executed or may still execute.
-    /// Attempts have no timeout of their own: one that is stuck is cancelled, and a retry may follow.
+    /// Attempts have no timeout of their own: a stuck attempt is cancelled, and a retry may follow.
     #[serde(rename = "Expired")]
     TimedOut,
-    /// No connection could be opened; never executed.
+    /// No connection could be opened; the attempt never executed.
     #[serde(rename = "DialFailed")]
     ConnectFailed,
-    /// The connection broke; it may have executed.
+    /// The connection broke; the attempt may have executed.
     #[serde(rename = "Dropped")]
     ConnectionLost,
-    /// The manager cancelled the attempt; it may have executed.
+    /// The manager cancelled the attempt, which may have executed.
     #[serde(rename = "Revoked")]
     Cancelled,
     /// The attempt was never sent.
@@ -106,9 +107,9 @@
 /// Resources that a query used, as reported in its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueryCost {
-    /// Work in thread-seconds.
+    /// Work of the query in thread-seconds.
     pub work: f64,
-    /// Memory in MB.
+    /// Memory that the query used, in MB.
     pub memory_mb: f64,
 }
 
@@ -128,9 +129,9 @@
 /// A request as it arrives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Id chosen by the caller, unique while its manager runs.
+    /// Id chosen by the caller, unique while the manager runs.
     pub id: RequestId,
-    /// Class of the request.
+    /// Class of the request: index in [`Settings::classes`](crate::Settings::classes).
     pub class: ClassId,
     /// Tenant of the client: index in [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
@@ -152,7 +153,8 @@
     /// An update of the endpoint list.
     #[serde(rename = "List")]
     EndpointsChanged {
-        /// Kind of the update.
+        /// What `entries` holds: the complete list, the list as last cached, only changes, or nothing because
+        /// a request for the list failed.
         kind: EndpointUpdate,
         /// Entries of the engines that the update covers.
         entries: Vec<EngineEntry>,
@@ -163,27 +165,27 @@
     /// A streamed answer began: part of it has reached the client, so that the request is no longer retried.
     #[serde(rename = "Started")]
     ResponseStarted {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`].
         id: RequestId,
     },
     /// An engine sent a progress note on a running attempt.
     #[serde(rename = "Noted")]
     ProgressReported {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// The progress note.
+        /// Progress of the query, or the reason why it waits or spills.
         note: ProgressNote,
     },
     /// An attempt ended.
     #[serde(rename = "Ended")]
     AttemptEnded {
-        /// The request.
+        /// Id of the request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// Outcome of the attempt.
+        /// Whether the engine answered the request, and otherwise why the attempt ended.
         outcome: Outcome,
         /// Time since the attempt was sent.
         latency: TimeDelta,
@@ -195,10 +197,10 @@
         /// Load report that came with the answer; empty if there was none.
         report: LoadReport,
     },
-    /// The client cancelled or disconnected.
+    /// The client cancelled its request or disconnected.
     #[serde(rename = "GivenUp")]
     RequestAbandoned {
-        /// The request.
+        /// Id of the request, as in its [`Arrival`].
         id: RequestId,
     },
     /// A timer is due.
@@ -211,7 +213,7 @@
     ProbeCompleted {
         /// The engine that was probed.
         engine: EngineId,
-        /// Outcome of the probe.
+        /// Whether the engine answered the probe, and otherwise why the probe failed.
         outcome: Outcome,
         /// Load report in the answer; empty if there was no answer.
         report: LoadReport,
@@ -221,7 +223,7 @@
     PeerMessageReceived {
         /// Number of the sending manager.
         from: u32,
-        /// The message; the module ignores it.
+        /// Message in the format of its sender; the module ignores it.
         message: Vec<u8>,
     },
     /// The fleet changed, by gossip: the number of managers that share budgets, and the retries that the
@@ -230,11 +232,11 @@
     FleetChanged {
         /// Managers that share the capacity, this one included; in a hot restart each process counts.
         gateways: u32,
-        /// Retries that the other managers leave to this one.
+        /// Retries per window of the retry budget that the other managers leave to this one.
         #[serde(rename = "spare")]
         spare_retries: f64,
     },
-    /// Zone failover changed the weights of the zones in the draw of an engine, by zone number.
+    /// Zone failover changed the weights of the zones in engine selection. Indexed by zone number.
     #[serde(rename = "Zones")]
     ZoneWeightsChanged(Vec<f64>),
 }
