--- a/crates/capture/src/identity.rs
+++ b/crates/capture/src/identity.rs
@@ -1,10 +1,11 @@
-//! Identifies the build that records: its version, the policy's source text, and its floating-point functions.
+//! Identifies the build that records: its version, the policy's source text, and its floating-point
+//! functions.
 
 use sprucelink_policy::SOURCES;
 use std::env::consts::{ARCH, OS};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Version of the files that this crate writes. It reads this one and every older one.
+/// Version of the file format that this crate writes; it reads this version and all older ones.
 pub const FORMAT: u32 = 1;
 
 /// Number of inputs that [`float_digest`] covers.
@@ -13,7 +14,7 @@
 const FLOAT_SAMPLE_STEP: f64 = 0.037;
 
 /// Name, version and target of this program, as segment headers hold them.
-pub fn build() -> String {
+pub fn build_description() -> String {
     format!("sprucelink {} {ARCH}-{OS}", env!("CARGO_PKG_VERSION"))
 }
 
--- a/crates/cluster-harness/src/client.rs
+++ b/crates/cluster-harness/src/client.rs
@@ -12,7 +12,7 @@
 /// Time after the request's timeout at which the client gives up waiting; the request then counts as lost.
 const TIMEOUT_GRACE: Duration = Duration::from_millis(500);
 
-/// Outcome of a request.
+/// Outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The manager sent a complete result.
@@ -21,24 +21,25 @@
     Refused,
     /// The manager answered with any other error.
     Failed,
-    /// The request could not be sent: no connection was established, or it ended at once.
+    /// The request could not be sent: no connection was established, or writing to it failed.
     NotTaken,
     /// No complete answer before the connection ended or the timeout and a grace of 500 ms were over.
     Lost,
 }
 
-/// A request of a client.
+/// A request that a client sends on a connection of its own.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
     /// Id of the request; contains the index of the manager, see [`crate::ledger::request_id`].
     pub id: u64,
-    /// Whether the request is a load with two threads, rather than a light query.
+    /// Whether the request is a load (class `tariff-load`, two threads) rather than a light query (class
+    /// `lane-rate`, one thread).
     pub heavy: bool,
-    /// Idempotency key of a load; light queries have none.
+    /// Idempotency key of a load; not sent with light queries.
     pub key: u64,
     /// The client's estimate of the work on one core, in milliseconds; 0: the request carries none.
-    pub ms: f64,
-    /// The timeout that the request carries.
+    pub estimated_work_ms: f64,
+    /// Timeout that is sent with the request; the client waits a grace of 500 ms longer.
     pub timeout: Duration,
 }
 
@@ -55,7 +56,11 @@
     let id = request.id;
     let ms = request.timeout.as_millis();
     let key = request.key;
-    let estimate = if request.ms > 0.0 { format!(",ms={:.1}", request.ms) } else { String::new() };
+    let estimate = if request.estimated_work_ms > 0.0 {
+        format!(",ms={:.1}", request.estimated_work_ms)
+    } else {
+        String::new()
+    };
     let sql = if request.heavy {
         format!("/* kind=tariff-load,req={id:016x},timeout={ms},owner=sud,opkey={key:032x}{estimate} */ INSERT INTO rates_3.lanes VALUES (1)\0")
     } else {
@@ -129,7 +134,8 @@
 /// # Errors
 /// If no connection was established, or no complete answer arrived.
 pub fn query_once(address: SocketAddr, id: u64) -> std::io::Result<bool> {
-    let request = ClientRequest { id, heavy: false, key: 0, ms: 0.0, timeout: Duration::from_secs(5) };
+    let request =
+        ClientRequest { id, heavy: false, key: 0, estimated_work_ms: 0.0, timeout: Duration::from_secs(5) };
     match crate::runtime().block_on(send(address, request)).0 {
         RequestOutcome::NotTaken => Err(std::io::Error::other("no connection established")),
         RequestOutcome::Lost => Err(std::io::Error::other("no complete answer")),
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -6,7 +6,7 @@
 /// Time for which an engine that fell over closes every connection.
 const DOWN_FOR: Duration = Duration::from_secs(2);
 
-/// The properties of an engine.
+/// The fixed properties of an engine: its cores, the work of its queries, and its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spec {
     /// Number of cores.
@@ -57,7 +57,7 @@
 }
 
 impl Machine {
-    /// An engine that starts now.
+    /// An engine that starts now, cold if the spec has a slow start.
     pub fn new(spec: Spec, now: Instant) -> Machine {
         Machine {
             spec,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Fraction of the cores that is available.
+    /// Fraction of the cores that is available: rises from `start_share` to 1 in a slow start.
     pub fn warmth(&self, now: Instant) -> f64 {
         if self.spec.cold_for <= 0.0 {
             return 1.0;
@@ -79,7 +79,7 @@
         self.spec.start_share + (1.0 - self.spec.start_share) * progress.min(1.0)
     }
 
-    /// Whether the engine is down after it fell over.
+    /// Whether the engine fell over and closes all connections for now.
     pub fn is_down(&self, now: Instant) -> bool {
         self.down_until.is_some_and(|t| now < t)
     }
@@ -122,7 +122,7 @@
         self.queries
     }
 
-    /// Number of threads at work.
+    /// Number of threads at work on queries in flight.
     pub fn threads(&self) -> f64 {
         self.threads
     }
--- a/crates/cluster-harness/src/run/setup.rs
+++ b/crates/cluster-harness/src/run/setup.rs
@@ -10,7 +10,7 @@
 use crate::ledger::Ledger;
 use crate::lists::{DiscoveryMode, ListService};
 use crate::procs::{self, Fleet, Row};
-use crate::scenario::{Engines, History, Lists, Scenario, GROUPS, ZONES};
+use crate::scenario::{Engines, History, ListServiceMode, Scenario, GROUPS, ZONES};
 use crate::subscribers::Subscribers;
 use sprucelink_history_checker::event::{Event, FleetMember};
 use sprucelink_membership::MembershipConfig;
@@ -23,7 +23,7 @@
 pub(super) const COLD_FOR: f64 = 15.0;
 /// Factor by which a query takes longer on a slow engine.
 const SLOW_FACTOR: f64 = 10.0;
-/// Number of managers that all managers have as seeds of the membership.
+/// Number of managers, the first ones, that all managers use as seeds of the membership protocol.
 const SEEDS: usize = 3;
 
 /// Starts the history that the scenario asks for; the recorder records nothing if it asks for none.
@@ -63,7 +63,7 @@
             fleet,
             process_states: vec![ProcessState::NotStarted; managers],
             availability: (0..managers).map(|_| Arc::default()).collect(),
-            up_once: vec![false; managers],
+            became_ready: vec![false; managers],
             crashed: 0,
             settings: settings_of(scenario),
             membership_net: UdpNet::new(&Faults::new(0)),
@@ -86,7 +86,7 @@
         harness.start_engines()?;
         harness.start_list_services()?;
         harness.ledger.keep_attempts(start);
-        harness.set_lists(scenario.lists);
+        harness.set_list_service_mode(scenario.lists);
         harness.reserve_membership_addresses()?;
         harness.start_subscribers();
         Ok(harness)
@@ -234,11 +234,11 @@
         Ok(())
     }
 
-    pub(super) fn set_lists(&self, lists: Lists) {
-        let mode = match lists {
-            Lists::Serve => DiscoveryMode::Serving,
-            Lists::Refuse => DiscoveryMode::Refusing,
-            Lists::Stall => DiscoveryMode::Stalling,
+    pub(super) fn set_list_service_mode(&self, mode: ListServiceMode) {
+        let mode = match mode {
+            ListServiceMode::Serve => DiscoveryMode::Serving,
+            ListServiceMode::Refuse => DiscoveryMode::Refusing,
+            ListServiceMode::Stall => DiscoveryMode::Stalling,
         };
         self.lists.iter().for_each(|l| l.set_discovery_mode(mode));
     }
@@ -262,7 +262,7 @@
         procs::config(&format!("n{i}"), seed, self.feeds[party], &known, &settings)
     }
 
-    /// A manager's further arguments of `serve`; writes the failover and membership files that they name.
+    /// A manager's additional arguments of `serve`; writes the failover and membership files that they name.
     pub(super) fn args(&self, i: usize) -> Result<Vec<String>, RunError> {
         let mut args = self.program.args.clone();
         if let Some(failover) = &self.scenario.failover {
--- a/crates/cluster-harness/src/scenario/parts.rs
+++ b/crates/cluster-harness/src/scenario/parts.rs
@@ -5,15 +5,15 @@
 use sprucelink_membership::{ProtocolConfig, SharingConfig};
 use std::collections::BTreeMap;
 
-/// The zone that a run is about, for the report's figures on its loss.
+/// The watched zone: the report has figures on its loss.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Watch {
-    /// The zone.
+    /// Name of the zone, one of [`ZONES`](super::ZONES).
     pub zone: String,
-    /// Time at which the zone is lost, in seconds.
+    /// Time at which the steps make the zone fail, in seconds after the start of the run.
     pub from: f64,
-    /// Time at which the zone comes back, in seconds.
+    /// Time at which the steps bring the zone back, in seconds after the start of the run.
     pub to: f64,
 }
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Engines {
-    /// Number of engines.
+    /// Number of engines when the run begins; steps can add more.
     pub count: usize,
     /// Number of engines, the first ones, that are in slow start when the run begins.
     pub cold: usize,
@@ -29,7 +29,7 @@
     pub missing: usize,
     /// Number of engines, the first ones, that are slower by a factor of ten.
     pub slow: usize,
-    /// Cores of each engine.
+    /// Number of cores of each engine.
     pub cores: f64,
     /// Work of a light query on one core, in milliseconds.
     pub light_ms: f64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The clients' load.
+/// Rate and kind of the clients' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
@@ -53,8 +53,8 @@
     pub heavy: f64,
     /// Timeout of a request, in milliseconds; 100 to 20,000.
     pub timeout_ms: f64,
-    /// While a manager is down, its clients send each request to another manager at random; else they send
-    /// none.
+    /// Whether the clients of a manager that is down send each request to another manager at random; else
+    /// they send none.
     pub follow: bool,
 }
 
@@ -70,7 +70,7 @@
 pub struct Membership {
     /// Settings of the membership protocol.
     pub protocol: ProtocolConfig,
-    /// Budgets that the fleet shares.
+    /// Budgets that the fleet shares: retry budgets and slow-start parts.
     pub share: SharingConfig,
 }
 
@@ -81,25 +81,28 @@
     /// Name of the port in templates.
     pub name: String,
     /// Text before the port's address in the manager's log, such as `council on `.
-    pub said: String,
+    #[serde(rename = "said")]
+    pub log_prefix: String,
 }
 
-/// Restarts of processes that have ended by themselves.
+/// Restarts of processes that have exited by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Supervise {
-    /// Crashed processes are restarted, too; else only those that request another version (exit status 75).
+    /// Whether crashed processes are restarted, too; else only processes that request another version (exit
+    /// status 75) are.
     pub crashed: bool,
     /// Delay of a restart, in milliseconds; 0 to 60,000.
-    pub back_ms: f64,
-    /// Maximum number of restarts of one manager in a run; after them it stays down. 0 to 1,000.
+    #[serde(rename = "back_ms")]
+    pub restart_delay_ms: f64,
+    /// Maximum number of restarts of one manager in a run, after which the manager stays down; 0 to 1,000.
     #[serde(rename = "most")]
     pub max_restarts: usize,
 }
 
 impl Default for Supervise {
     fn default() -> Supervise {
-        Supervise { crashed: false, back_ms: 100.0, max_restarts: 100 }
+        Supervise { crashed: false, restart_delay_ms: 100.0, max_restarts: 100 }
     }
 }
 
@@ -120,7 +123,7 @@
     }
 }
 
-/// Stand-in subscribers.
+/// Stand-in subscribers of the managers' journal: their number, connections and reading of records.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Subscribers {
@@ -128,7 +131,7 @@
     pub count: usize,
     /// Time over which the subscribers start one after the other, in milliseconds.
     pub over_ms: f64,
-    /// Time at which the first subscriber starts, in seconds.
+    /// Time at which the first subscriber starts, in seconds after the start of the run.
     pub at: f64,
     /// Name of the managers' port, one of the scenario's `ports`.
     pub port: String,
@@ -143,14 +146,16 @@
     /// Mean time after which a subscriber moves to another manager, in seconds; 0: never.
     pub hop_s: f64,
     /// Time until a subscriber reconnects, in milliseconds; the stream can change it (`retry`). Each delay is
-    /// drawn from 0.5 to 1.5 times this.
+    /// drawn from 0.5 to 1.5 times this value.
     pub retry_ms: f64,
     /// Time without data after which a subscriber considers its connection dead, in milliseconds.
     pub silent_ms: f64,
     /// JSON pointer to the position before a record, in the record's data.
-    pub prev_at: String,
-    /// JSON pointer to the operation that a record carries out, in the record's data.
-    pub op_at: String,
+    #[serde(rename = "prev_at")]
+    pub previous_pointer: String,
+    /// JSON pointer to the name of the operation that a record carries out, in the record's data.
+    #[serde(rename = "op_at")]
+    pub operation_pointer: String,
     /// JSON pointers to the fields that a version needs to read a record, by version and record name.
     pub needs: BTreeMap<String, BTreeMap<String, Vec<String>>>,
     /// Records that have a meaning for the checker.
@@ -171,8 +176,8 @@
             hop_s: 0.0,
             retry_ms: 1_000.0,
             silent_ms: 10_000.0,
-            prev_at: "/prev".into(),
-            op_at: "/op".into(),
+            previous_pointer: "/prev".into(),
+            operation_pointer: "/op".into(),
             needs: BTreeMap::new(),
             marks: Marks::default(),
         }
@@ -241,7 +246,7 @@
 pub struct SchemaMark {
     /// The record's name.
     pub record: String,
-    /// JSON pointer to the publisher.
+    /// JSON pointer to the publisher's name.
     pub publisher: String,
     /// JSON pointer to the list of subscribers' versions that can read the schema.
     pub reads: String,
--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::comparison::compare;
 use crate::findings::findings_for_usage;
-use crate::limits::SAMPLES_PER_RECORD;
+use crate::limits::SAMPLES_PER_RECORD_TYPE;
 use crate::rules::{Direction, Finding, Rule, Severity};
 use crate::sample::sample;
 use crate::schema::Schema;
@@ -13,20 +13,21 @@
 /// The directions in which a schema change is checked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Directions {
-    /// Checks records of the new version against readers of the old one: publishers are upgraded first.
-    pub down: bool,
-    /// Checks records of the old version against readers of the new one: history is replayed, or old
-    /// publishers continue beside new ones.
-    pub up: bool,
+    /// Whether records of the new version are checked against readers of the old one, for a change in which
+    /// publishers are upgraded first.
+    pub new_to_old: bool,
+    /// Whether records of the old version are checked against readers of the new one, for a change in which
+    /// old records are replayed or old publishers continue beside new ones.
+    pub old_to_new: bool,
 }
 
 impl Directions {
-    /// Checks both directions.
-    pub const BOTH: Self = Self { down: true, up: true };
-    /// Checks new writers against old readers only.
-    pub const DOWN: Self = Self { down: true, up: false };
-    /// Checks old writers against new readers only.
-    pub const UP: Self = Self { down: false, up: true };
+    /// Both directions are checked.
+    pub const BOTH: Self = Self { new_to_old: true, old_to_new: true };
+    /// Only new writers are checked against old readers.
+    pub const NEW_TO_OLD: Self = Self { new_to_old: true, old_to_new: false };
+    /// Only old writers are checked against new readers.
+    pub const OLD_TO_NEW: Self = Self { new_to_old: false, old_to_new: true };
 }
 
 /// The result of a compatibility check.
@@ -57,9 +58,9 @@
 #[derive(Clone, Debug)]
 pub struct Translations {
     /// Translates records of the new version into the old one.
-    pub down: Translation,
+    pub new_to_old: Translation,
     /// Translates records of the old version into the new one.
-    pub up: Translation,
+    pub old_to_new: Translation,
 }
 
 /// The highest severity of the findings; [`Severity::Note`] if there are none.
@@ -77,8 +78,8 @@
     match worst_severity(&findings) {
         Severity::Note => Compatibility::Compatible,
         Severity::Translate => Compatibility::Translatable(Box::new(Translations {
-            down: Translation::between(new, old, Direction::Down),
-            up: Translation::between(old, new, Direction::Up),
+            new_to_old: Translation::between(new, old, Direction::NewToOld),
+            old_to_new: Translation::between(old, new, Direction::OldToNew),
         })),
         Severity::Break => Compatibility::Rejected(breaking_findings(findings)),
     }
@@ -93,17 +94,18 @@
     directions: Directions,
 ) -> Vec<Finding> {
     let mut findings = history_findings(&[old], new);
-    if directions.down {
-        findings.extend(reader_findings(new, old, usage, Direction::Down));
+    if directions.new_to_old {
+        findings.extend(reader_findings(new, old, usage, Direction::NewToOld));
     }
-    if directions.up {
+    if directions.old_to_new {
         let new_usage = ReaderUsage { paths: None, ..usage.clone() };
-        findings.extend(reader_findings(old, new, &new_usage, Direction::Up));
+        findings.extend(reader_findings(old, new, &new_usage, Direction::OldToNew));
     }
     findings
 }
 
-/// Findings of the history rules for a new schema after all versions `before` it, oldest first.
+/// Findings for the schema `new` of the rules on numbers and names that earlier versions used or reserved
+/// (the history rules). `before` holds these versions, oldest first.
 #[must_use]
 pub fn history_findings(before: &[&Schema], new: &Schema) -> Vec<Finding> {
     let mut symbol_history = SymbolHistory::default();
@@ -119,11 +121,12 @@
     usage: &ReaderUsage,
     direction: Direction,
 ) -> Vec<Finding> {
-    let pair = compare(&writer.model, &reader.model, direction);
-    let mut findings = findings_for_usage(&pair, &reader.model, usage);
+    let comparison = compare(&writer.model, &reader.model, direction);
+    let mut findings = findings_for_usage(&comparison, &reader.model, usage);
     if worst_severity(&findings) == Severity::Translate {
-        let translation = Translation::from_comparison(&pair, reader);
-        let opposite = if direction == Direction::Down { Direction::Up } else { Direction::Down };
+        let translation = Translation::from_comparison(&comparison, reader);
+        let opposite =
+            if direction == Direction::NewToOld { Direction::OldToNew } else { Direction::NewToOld };
         let inverse = Translation::between(reader, writer, opposite);
         findings.extend(test_translation(&translation, &inverse, writer, direction));
     }
@@ -138,7 +141,7 @@
     direction: Direction,
 ) -> Option<Finding> {
     for name in writer.records() {
-        for seed in 0..SAMPLES_PER_RECORD {
+        for seed in 0..SAMPLES_PER_RECORD_TYPE {
             let Some(record) = sample(writer, name, seed) else { continue };
             let failure = match translation.run(&record) {
                 Ok(None) => None,
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -73,7 +73,8 @@
             None if self.publishers.len() >= MAX_PUBLISHERS => {
                 Err(limit_reached("publishers", MAX_PUBLISHERS))
             }
-            // A change would add or remove withdrawn versions for subscribers that were already checked.
+            // A change of `replayed` would add or remove withdrawn versions for subscribers that were already
+            // checked.
             Some(known) if known.replayed != replayed => Err(InvalidCommand::ReplayChanged.into()),
             _ => Ok(()),
         }
@@ -97,7 +98,7 @@
         if replayed {
             let usage = ReaderUsage::all().tolerant();
             for (&old, writer) in publisher.versions.iter().filter(|(&old, _)| old < version) {
-                let findings = reader_findings(&writer.schema, schema, &usage, Direction::Up);
+                let findings = reader_findings(&writer.schema, schema, &usage, Direction::OldToNew);
                 let readers = format!("readers of version {version} reading records of version {old}");
                 violations.add(&findings, &[&readers]);
             }
--- a/crates/schema-compat/src/registry/translations.rs
+++ b/crates/schema-compat/src/registry/translations.rs
@@ -17,8 +17,8 @@
         publisher_subscriptions.map(|((_, subscriber), subscription)| (subscriber.as_str(), subscription))
     }
 
-    /// Updates the translations of one publisher to those that its subscribers need; existing ones are
-    /// reused.
+    /// Updates the translations of one publisher to those that its subscribers need; existing translations
+    /// are reused.
     pub(crate) fn refresh_translations(&mut self, name: &str) {
         let Some(publisher) = self.publishers.get(name) else { return };
         let read_versions: BTreeSet<u32> =
@@ -60,8 +60,8 @@
 /// The direction between a writer's and a reader's version: which of them is newer.
 pub(crate) fn direction(writer: u32, reader: u32) -> Direction {
     if writer >= reader {
-        Direction::Down
+        Direction::NewToOld
     } else {
-        Direction::Up
+        Direction::OldToNew
     }
 }
--- a/crates/schema-compat/tests/properties.rs
+++ b/crates/schema-compat/tests/properties.rs
@@ -32,14 +32,15 @@
     direction: Direction,
 }
 
-/// Checks a change in one direction, without the history rules, which apply whatever a reader receives.
+/// Checks a change in one direction, without the history rules, which do not depend on the records that a
+/// reader receives.
 fn check_pair(old: &GeneratedSchema, new: &GeneratedSchema, usage: &ReaderUsage, down: bool) -> Pair {
     let (old, new) = (schema(&old.body()), schema(&new.body()));
-    let directions = if down { Directions::DOWN } else { Directions::UP };
+    let directions = if down { Directions::NEW_TO_OLD } else { Directions::OLD_TO_NEW };
     let mut findings = check_findings(&old, &new, usage, directions);
     findings.retain(|one| one.direction != Direction::History);
     let (writer, reader) = if down { (new, old) } else { (old, new) };
-    Pair { writer, reader, findings, direction: if down { Direction::Down } else { Direction::Up } }
+    Pair { writer, reader, findings, direction: if down { Direction::NewToOld } else { Direction::OldToNew } }
 }
 
 /// Whether a finding needs no witness: it is not a break, or the break lies in the field's declaration and
@@ -78,7 +79,13 @@
         let (writer, reader) = if down { (&new, &old) } else { (&old, &new) };
         let verdict = worst_severity(&pair.findings);
         *counted.borrow_mut().entry((verdict, down)).or_default() += 1;
-        let oracle = Oracle { writer, reader, used, down, translated: verdict == Severity::Translate };
+        let oracle = Oracle {
+            writer,
+            reader,
+            used,
+            writer_is_newer: down,
+            translated: verdict == Severity::Translate,
+        };
         let translation = Translation::between(&pair.writer, &pair.reader, pair.direction);
         let loss_for_seed = |seed: u64| {
             let record = sample(&pair.writer, "t.Top", seed).unwrap();
@@ -132,8 +139,8 @@
         if verdict == Severity::Break {
             return Ok(());
         }
-        let down_translation = Translation::between(&down.writer, &down.reader, Direction::Down);
-        let up_translation = Translation::between(&up.writer, &up.reader, Direction::Up);
+        let down_translation = Translation::between(&down.writer, &down.reader, Direction::NewToOld);
+        let up_translation = Translation::between(&up.writer, &up.reader, Direction::OldToNew);
         for seed in 0..8 {
             let record = sample(&down.writer, "t.Top", seed).unwrap();
             let fail =
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -28,7 +28,7 @@
     let program = Program::launch(&[("s-1", engine.address)], None, None, (192, 1024), SETTINGS, extra_args);
     let feed = refusing_feed();
     program.reload(&program.config_with_feed(feed.address));
-    let calls = || feed.calls.read().at;
+    let calls = || feed.calls.read().times;
     let first_call = wait_until(|| calls().first().copied());
     thread::sleep(span);
     calls().iter().filter(|t| **t - first_call < span).count()
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -67,12 +67,20 @@
     run::clear(&dir);
     eprintln!("{}\n{}", Report::head(), outcome.report.line());
     let report = &outcome.report;
-    assert_eq!((report.up, report.crashed), (report.managers, 0), "every manager came up and none crashed");
+    assert_eq!(
+        (report.became_ready, report.crashed),
+        (report.managers, 0),
+        "every manager came up and none crashed"
+    );
     assert!(report.issued > 0, "clients sent requests");
     let ended = report.served + report.refused + report.failed + report.lost + report.not_taken + report.died;
     assert_eq!(ended, report.issued, "every request has exactly one outcome");
-    let breaches = &report.breaches;
-    assert_eq!((report.lost, breaches.second_attempts, breaches.pushed_over), (0, 0, 0), "no rule is broken");
+    let counts = &report.attempt_counts;
+    assert_eq!(
+        (report.lost, counts.second_attempts, counts.cold_engine_falls),
+        (0, 0, 0),
+        "no rule is broken"
+    );
     outcome
 }
 
@@ -189,7 +197,7 @@
         )
     };
     let outcome = play("rolling", &scenario_with("roll"), Some("{ enabled: true }"));
-    assert_eq!((outcome.report.died, outcome.report.breaches.after_drain), (0, 0));
+    assert_eq!((outcome.report.died, outcome.report.attempt_counts.after_drain), (0, 0));
     assert!(
         outcome.report.served * 10 >= outcome.report.issued * 9,
         "{} of {}",
@@ -209,7 +217,7 @@
         steps: [ { at: 2, do: { engines_come: 1 } }, { at: 3, do: { engines_drain: { from: 0.25, to: 0.5 } } },
                  { at: 3.5, do: 'older_list' }, { at: 4, do: 'contradictory_list' } ] }";
     let outcome = play("older", scenario, Some("{ enabled: true }"));
-    assert_eq!(outcome.report.breaches.after_drain, 0);
+    assert_eq!(outcome.report.attempt_counts.after_drain, 0);
     assert!(
         outcome
             .logs
@@ -219,7 +227,7 @@
     );
     let plain = play("older-off", scenario, None);
     assert!(
-        plain.report.breaches.after_drain > 0,
+        plain.report.attempt_counts.after_drain > 0,
         "without the check requests are sent to the draining engine"
     );
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -18,10 +18,10 @@
     for view in outcome.views.iter().step_by(4) {
         eprintln!(
             "{name} {:6.2} s: {} of {} right, {} views",
-            view.at, view.right, view.polled, view.different
+            view.at, view.right_views, view.polled, view.distinct_views
         );
     }
-    assert_eq!((outcome.report.up, outcome.report.crashed), (outcome.report.managers, 0));
+    assert_eq!((outcome.report.became_ready, outcome.report.crashed), (outcome.report.managers, 0));
     assert_eq!(outcome.report.lost, 0, "no request is lost");
     outcome
 }
@@ -43,9 +43,9 @@
                          {{ at: 13, do: {{ restart: {{ from: 0.8, to: 1 }} }} }} ] }}"
         ),
     );
-    assert!(outcome.agreed(0.0, 4.0).is_some(), "all managers agree on one view");
-    assert!(outcome.agreed(4.0, 13.0).is_some(), "the view excludes the dead manager");
-    assert!(outcome.agreed(13.0, 18.5).is_some(), "the view includes the new process");
+    assert!(outcome.seconds_to_agreement(0.0, 4.0).is_some(), "all managers agree on one view");
+    assert!(outcome.seconds_to_agreement(4.0, 13.0).is_some(), "the view excludes the dead manager");
+    assert!(outcome.seconds_to_agreement(13.0, 18.5).is_some(), "the view includes the new process");
     assert_eq!(count_lines(&outcome, "membership changed member=n4 change=died ", ""), 4);
     assert_eq!(
         count_lines(&outcome, "membership changed member=n4 change=restarted ", "")
@@ -73,12 +73,16 @@
                 membership: {{ {FAST} }}, steps: [ {{ at: 4, do: {start_partition} }}, {{ at: 14, do: {end_partition} }} ] }}"
         ),
     );
-    assert!(outcome.agreed(0.0, 4.0).is_some(), "all managers agree on one view");
+    assert!(outcome.seconds_to_agreement(0.0, 4.0).is_some(), "all managers agree on one view");
     let partitioned = outcome.views.iter().rfind(|v| v.at < 14.0).expect("views");
-    assert_eq!((partitioned.different, partitioned.right), (2, 0), "one view on each side: {partitioned:?}");
+    assert_eq!(
+        (partitioned.distinct_views, partitioned.right_views),
+        (2, 0),
+        "one view on each side: {partitioned:?}"
+    );
     // Of six managers, four have a view of four and two have a view of two.
-    assert_eq!(partitioned.wrong, 4 * 2 + 2 * 4);
-    assert!(outcome.agreed(14.0, 26.5).is_some(), "the views converge again");
+    assert_eq!(partitioned.wrong_members, 4 * 2 + 2 * 4);
+    assert!(outcome.seconds_to_agreement(14.0, 26.5).is_some(), "the views converge again");
 }
 
 /// A manager is stopped (SIGSTOP) for longer than the suspicion timeout: it is declared dead, resumes and
@@ -93,8 +97,8 @@
                          {{ at: 14, do: {{ resume: {{ from: 0.8, to: 1 }} }} }} ] }}"
         ),
     );
-    assert!(outcome.agreed(4.0, 14.0).is_some(), "the view excludes the stopped manager");
-    assert!(outcome.agreed(14.0, 22.5).is_some(), "the view includes it again");
+    assert!(outcome.seconds_to_agreement(4.0, 14.0).is_some(), "the view excludes the stopped manager");
+    assert!(outcome.seconds_to_agreement(14.0, 22.5).is_some(), "the view includes it again");
     assert!(
         count_lines(&outcome, "membership changed member=n4 change=refuted ", "") >= 1,
         "the manager refuted its death"
@@ -117,7 +121,7 @@
                              rule: {{ drop: 0.1, garble: 0.05, delay_ms: 2, jitter_ms: 10 }} }} }} }} ] }}"
         ),
     );
-    assert!(outcome.agreed(0.0, 4.0).is_some());
+    assert!(outcome.seconds_to_agreement(0.0, 4.0).is_some());
     assert_eq!(count_lines(&outcome, "membership changed ", " change=died "), 0);
     assert!(
         count_lines(&outcome, "membership datagram rejected", "error=\"the checksum") > 0,
@@ -137,7 +141,7 @@
                          {{ at: 13, do: 'heal' }} ] }}"
         ),
     );
-    assert!(outcome.agreed(13.0, 22.5).is_some());
+    assert!(outcome.seconds_to_agreement(13.0, 22.5).is_some());
 }
 
 /// On SIGTERM a manager announces that it leaves, so that no other manager suspects it.
@@ -152,7 +156,7 @@
     );
     assert!(count_lines(&outcome, "membership changed member=n3 change=left ", "") >= 1);
     assert_eq!(count_lines(&outcome, "membership changed member=n3 change=died ", ""), 0);
-    assert!(outcome.agreed(6.0, 14.5).is_some(), "the view includes it after its restart");
+    assert!(outcome.seconds_to_agreement(6.0, 14.5).is_some(), "the view includes it after its restart");
 }
 
 /// All datagrams in one direction between two managers are lost: neither can probe the other directly, and
@@ -166,8 +170,8 @@
                 membership: {{ {FAST} }}, steps: [ {{ at: 4, do: {{ fault: {{ from: 'b', to: 'c', rule: {{ drop: 1 }} }} }} }} ] }}"
         ),
     );
-    assert!(outcome.agreed(0.0, 4.0).is_some(), "all managers agree on one view");
-    assert!(outcome.agreed(10.0, 18.5).is_some(), "the managers keep the view");
+    assert!(outcome.seconds_to_agreement(0.0, 4.0).is_some(), "all managers agree on one view");
+    assert!(outcome.seconds_to_agreement(10.0, 18.5).is_some(), "the managers keep the view");
     assert_eq!(count_lines(&outcome, "membership changed ", " change=died "), 0);
 }
 
@@ -186,5 +190,5 @@
                 steps: [ {steps} ] }}"
         ),
     );
-    assert!(outcome.agreed(10.0, 18.5).is_some());
+    assert!(outcome.seconds_to_agreement(10.0, 18.5).is_some());
 }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -37,8 +37,8 @@
     for log in &outcome.logs {
         log.lines().filter(|l| l.contains("failover state changed")).for_each(|l| eprintln!("{name}: {l}"));
     }
-    assert_eq!((report.up, report.crashed, report.lost), (report.managers, 0, 0));
-    assert_eq!(report.breaches.pushed_over, 0);
+    assert_eq!((report.became_ready, report.crashed, report.lost), (report.managers, 0, 0));
+    assert_eq!(report.attempt_counts.cold_engine_falls, 0);
     outcome
 }
 
@@ -57,7 +57,7 @@
 fn requests_stay_in_their_zone_while_nothing_fails() {
     let calm = scenario(FAILOVER_ON, 6, "");
     let outcome = play("zones-calm", &calm);
-    assert_eq!(outcome.report.breaches.second_attempts, 0);
+    assert_eq!(outcome.report.attempt_counts.second_attempts, 0);
     assert!(outcome.report.crossing < 0.05, "{} crossed", outcome.report.crossing);
     assert_eq!(count_state_changes(&outcome, "ejected"), 0);
     let plain = play("zones-calm-off", &scenario("failover: { enabled: false }", 6, ""));
@@ -146,7 +146,7 @@
         failover: { enabled: true } }";
     let slow = Scenario::parse(text).expect("a scenario");
     let outcome = play("zones-slow", &slow);
-    assert_eq!(outcome.report.breaches.second_attempts, 0);
+    assert_eq!(outcome.report.attempt_counts.second_attempts, 0);
     assert_eq!(count_state_changes(&outcome, "ejected"), 0);
     assert!(outcome.report.crossing < 0.1, "{} crossed", outcome.report.crossing);
 }
