--- a/crates/query-fingerprint/src/normal/aliases.rs
+++ b/crates/query-fingerprint/src/normal/aliases.rs
@@ -75,7 +75,7 @@
 /// Keywords after WITH that are not the name of a common table expression.
 const NOT_CTE_NAMES: &[&str] = &["time", "local", "cascaded", "check", "ordinality", "no", "ties"];
 
-/// Keywords that may follow AS and are not an alias: those that begin a statement, and [NOT] MATERIALIZED.
+/// Keywords that may follow AS and are not an alias: those that begin a statement, and `[NOT] MATERIALIZED`.
 const NOT_ALIASES_AFTER_AS: &[&str] =
     &["materialized", "not", "select", "with", "values", "insert", "update", "delete", "merge"];
 /// Functions in whose arguments AS is followed by a type.
@@ -240,7 +240,7 @@
     }
 
     /// Whether a common table expression begins at `index`: a name, optional columns, AS, and a bracket or
-    /// [NOT] MATERIALIZED.
+    /// `[NOT] MATERIALIZED`.
     fn is_cte_at(&self, index: usize) -> bool {
         if !self.parts.get(index).is_some_and(SourceToken::is_name) {
             return false;
