--- a/src/core/policy_driver.rs
+++ b/src/core/policy_driver.rs
@@ -193,7 +193,7 @@
         let entries = list.endpoints.iter().map(|member| EngineEntry {
             engine: EngineId(self.engine_indices.get_or_assign(&member.id)),
             zone: index_of(&self.zones, &member.zone),
-            kind: index_of(&self.kinds, &member.kind),
+            kind: index_of(&self.kinds, &member.machine_kind),
             cell: member.cell,
             state: match member.phase {
                 EndpointPhase::Ready => EngineState::Ready,
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -78,7 +78,15 @@
 
 /// An entry of the endpoint list.
 pub(super) fn member(id: &str, address: String, phase: EndpointPhase, up_since_ms: i64) -> Endpoint {
-    Endpoint { id: id.into(), address, zone: String::new(), kind: String::new(), cell: 0, phase, up_since_ms }
+    Endpoint {
+        id: id.into(),
+        address,
+        zone: String::new(),
+        machine_kind: String::new(),
+        cell: 0,
+        phase,
+        up_since_ms,
+    }
 }
 
 /// An owner of connections that authorizes every attempt and ignores every answer.
--- a/src/proto/events.rs
+++ b/src/proto/events.rs
@@ -88,7 +88,7 @@
     /// Name of the engine's zone; empty if the event gives none.
     pub zone: String,
     /// Name of the engine's machine kind; empty if the event gives none.
-    pub kind: String,
+    pub machine_kind: String,
     /// Number of the engine's cell; 0 if the event gives none.
     pub cell: u32,
     /// Phase of the endpoint; an unknown phase counts as ready.
@@ -163,7 +163,7 @@
         id,
         address: text(field::ADDRESS),
         zone: text(field::ZONE),
-        kind: text(field::MACHINE_KIND),
+        machine_kind: text(field::MACHINE_KIND),
         cell: entry[field::CELL].as_u64().unwrap_or(0) as u32,
         phase: match entry[field::PHASE].as_str() {
             Some(phase::DRAINING) => EndpointPhase::Draining,
