--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -30,7 +30,7 @@
     pub max_sessionless: usize,
     /// Whether the front accepts the extended query protocol and session settings, and generates request ids
     /// (the operator's front).
-    pub extended: bool,
+    pub allows_extended_queries: bool,
     /// Whether start-up messages outside TLS are rejected.
     pub require_tls: bool,
     /// Class of a statement whose comment names no class; such a statement is rejected if this is `None`.
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -79,12 +79,16 @@
 impl Front {
     /// Creates a front that submits its requests to `core`.
     pub fn new(core: Rc<Core>, config: FrontConfig) -> Rc<Front> {
-        let max_buffers = if config.extended { MAX_READ_AHEAD_BUFFERS } else { 0 };
+        let max_buffers = if config.allows_extended_queries { MAX_READ_AHEAD_BUFFERS } else { 0 };
         let total_buffers = core.pool().max_buffers() / READ_AHEAD_POOL_DIVISOR;
         Rc::new(Front {
             sessions: RefCell::default(),
             session_ends: SessionEndCounters::new(core.metrics()),
-            slots: ConnectionSlots::new(config.max_sessions, config.max_evicted, !config.extended),
+            slots: ConnectionSlots::new(
+                config.max_sessions,
+                config.max_evicted,
+                !config.allows_extended_queries,
+            ),
             sessionless: SessionlessConnections::new(config.max_sessionless),
             read_ahead: ReadAheadBudget::new(max_buffers, total_buffers),
             core,
--- a/src/front/request.rs
+++ b/src/front/request.rs
@@ -81,7 +81,7 @@
 
     /// The request's id: the client's on the platform's front, a generated one on the `extended` front.
     fn request_id(&self, fields: &Fields) -> Result<u64, ErrorResponse> {
-        if self.config.extended {
+        if self.config.allows_extended_queries {
             return Ok(self.core.generate_id());
         }
         fields.request_id.ok_or_else(|| invalid_field("req", "is missing"))
@@ -96,7 +96,7 @@
         }
         match &fields.idempotency_key {
             Some(key) => Ok(Some(key.clone())),
-            None if self.config.extended => {
+            None if self.config.allows_extended_queries => {
                 Ok(Some(format!("{:016x}{:016x}", self.core.generate_id(), self.core.generate_id())))
             }
             None => Err(invalid_field("opkey", "is missing: the class carries a key")),
--- a/src/front/session/input.rs
+++ b/src/front/session/input.rs
@@ -81,7 +81,7 @@
     /// Ends an idle session because the process stops. Clients of the platform's front expect no message.
     fn end_for_stop(&self) -> SessionFlow {
         let error = ErrorResponse::new("57P01", "the server is stopping").hint("Connect again.");
-        let error = self.front.config.extended.then_some(error);
+        let error = self.front.config.allows_extended_queries.then_some(error);
         SessionFlow::End(SessionEnd { reason: SessionEndReason::Stopping, error })
     }
 
--- a/src/front/session/mod.rs
+++ b/src/front/session/mod.rs
@@ -90,7 +90,7 @@
     let cancel = CancelSignal::new(secret);
     front.sessions.borrow_mut().insert(process_id, Rc::clone(&cancel));
     let _registration = SessionRegistration { front: &front, process_id };
-    let statement_timeout_ms = if front.config.extended {
+    let statement_timeout_ms = if front.config.allows_extended_queries {
         match timeout_of_startup(&start.parameters) {
             Ok(timeout) => timeout,
             Err(error) => return Ok(Some(error)),
@@ -213,7 +213,7 @@
             Message::Flush => Ok(MessageAction::Flush),
             _ if self.skips_to_sync => Ok(MessageAction::None),
             Message::Query(text) => Ok(MessageAction::Query(text.to_owned())),
-            message if self.front.config.extended => {
+            message if self.front.config.allows_extended_queries => {
                 self.objects.handle_message(reply, message).map(MessageAction::Extended)
             }
             _ => Err(ErrorResponse::new("0A000", "only simple queries are spoken here")),
--- a/src/front/session/simple_query.rs
+++ b/src/front/session/simple_query.rs
@@ -50,7 +50,9 @@
         text: &'t str,
     ) -> Result<Option<(Fields, &'t str)>, ErrorResponse> {
         let (fields, statement) = fields::split(text).map_err(ErrorResponse::from)?;
-        if self.front.config.extended && self.objects.answer_simple_query(connection.output(), statement)? {
+        if self.front.config.allows_extended_queries
+            && self.objects.answer_simple_query(connection.output(), statement)?
+        {
             return Ok(None);
         }
         // The platform's health check is an empty text. A comment without a statement after it is a truncated
--- a/src/front/session/state.rs
+++ b/src/front/session/state.rs
@@ -68,8 +68,8 @@
     }
 
     /// Waits for a request's response, a CancelRequest, or the end of the connection. Input is read ahead
-    /// meanwhile, since the end of the stream may follow further input. A client that floods is disconnected
-    /// with an error.
+    /// meanwhile, since the end of the stream may follow further input. A client of which too many
+    /// bytes were discarded (`is_flooding`) is disconnected with an error.
     ///
     /// # Errors
     /// The request was rejected, has failed or was cancelled, or the session ends.
@@ -78,7 +78,7 @@
         connection: &mut ClientConnection<S>,
         mut request: RequestHandle,
     ) -> Result<ResultSet, MessageError> {
-        let extended = self.front.config.extended;
+        let extended = self.front.config.allows_extended_queries;
         loop {
             tokio::select! {
                 biased;
--- a/src/run/config.rs
+++ b/src/run/config.rs
@@ -64,7 +64,7 @@
     pub kind_names: Vec<String>,
     /// File descriptors that the process may hold (`limits.sockets`).
     pub sockets: usize,
-    /// Division of `sockets` among the kinds of connections.
+    /// Division of `sockets` among sessions, handshakes, draining connections and connections to engines.
     pub descriptors: DescriptorBudget,
     /// Limits and timeouts of the connections to engines.
     pub connection_limits: ConnectionLimits,
@@ -175,7 +175,7 @@
         max_sessions: descriptors.sessions,
         max_evicted: descriptors.draining,
         max_sessionless: descriptors.handshakes,
-        extended: false,
+        allows_extended_queries: false,
         require_tls: false,
         default_class: None,
         default_tenant: None,
--- a/src/run/second_front.rs
+++ b/src/run/second_front.rs
@@ -16,9 +16,9 @@
 /// Highest value of `max_sessions` in the file.
 const MAX_SESSIONS: u64 = 256;
 /// Maximum number of connections of the second front without a session slot.
-const MAX_HANDSHAKES: usize = 8;
-/// Maximum number of evicted sessions of the second front that still complete what they had begun.
-const MAX_DRAINING: usize = 2;
+const MAX_SESSIONLESS: usize = 8;
+/// Maximum number of evicted connections of the second front that still hold a slot.
+const MAX_EVICTED: usize = 2;
 /// Seconds before expiry at which a certificate is renewed if the file has no value: 30 days.
 const DEFAULT_RENEW_BEFORE_S: f64 = 30.0 * 86_400.0;
 /// Seconds from a failed order of a certificate to the first retry if the file has no value.
@@ -116,10 +116,10 @@
     /// A file or folder does not exist.
     #[error("does not exist")]
     NoSuchPath,
-    /// A string is not a socket address.
+    /// The field is a string that is not a socket address; the value is the string.
     #[error("{0:?} is no address")]
     InvalidAddress(String),
-    /// A field is absent or not a socket address.
+    /// `challenge_listen` of `acme` is absent or not a socket address.
     #[error("is no address")]
     NotAnAddress,
 }
@@ -146,9 +146,9 @@
     let front = FrontConfig {
         require_tls: file.require_tls(certificates.is_some())?,
         max_sessions,
-        max_evicted: MAX_DRAINING,
-        max_sessionless: MAX_HANDSHAKES,
-        extended: true,
+        max_evicted: MAX_EVICTED,
+        max_sessionless: MAX_SESSIONLESS,
+        allows_extended_queries: true,
         default_class,
         default_tenant,
         ..platform.clone()
