--- a/src/front/client_connection/mod.rs
+++ b/src/front/client_connection/mod.rs
@@ -30,7 +30,9 @@
     /// Input that follows `input`, in order.
     read_ahead: VecDeque<ReadAheadBuffer>,
     budget: Rc<ReadAheadBudget>,
+    /// Read-ahead limit that was exceeded last; `None` if no bytes were discarded.
     overrun: Option<ReadAheadOverrun>,
+    /// Number of input bytes that were discarded because a read-ahead limit was exceeded.
     discarded_bytes: usize,
     /// Whether the stream has ended or failed.
     is_at_end: bool,
@@ -75,7 +77,7 @@
         self.arrivals.last_consumed_arrival()
     }
 
-    /// Removes `count` bytes from the front of the input buffer.
+    /// Marks `count` more bytes at the front of the input as consumed.
     pub fn consume(&mut self, count: usize) {
         self.consumed += count;
         self.arrivals.record_consumed(count);
--- a/src/front/connection.rs
+++ b/src/front/connection.rs
@@ -88,7 +88,7 @@
     /// Counts a connection among those without a slot.
     fn enter_sessionless(&self, phase: SessionlessPhase) -> ConnectionGuard {
         self.descriptor_released.notify_one();
-        ConnectionGuard::Sessionless(self.sessionless.enter(phase))
+        ConnectionGuard::Sessionless(self.sessionless.add(phase))
     }
 
     async fn run_session<S: AsyncRead + AsyncWrite + Unpin>(
@@ -114,8 +114,10 @@
     }
 
     /// Acquires a slot for a connection that asked for a session; `None` if no slot becomes free and no
-    /// connection can be evicted. A session that has sent requests is evicted only if no other connection can
-    /// be evicted, now or after its grace period, or if [`SLOT_WAIT`] has passed.
+    /// connection can be evicted. Waits up to [`SLOT_WAIT`] for a free slot, or for an evictable connection
+    /// of which no request has been admitted (a new connection is protected for a short time). After that, or
+    /// at once if there is no such connection and the hard limit allows an eviction, a session without an
+    /// open request is evicted.
     async fn acquire_slot(&self, sessionless: &SessionlessConnection) -> Option<ConnectionSlot> {
         let deadline = now() + SLOT_WAIT;
         loop {
@@ -128,7 +130,8 @@
             }
             let evictable_in = self.slots.time_until_evictable();
             let remaining = deadline - now();
-            // No connection without a request becomes evictable later, and the limits allow an eviction now.
+            // Waiting is useless if no connection without a request will become evictable and the hard limit
+            // allows an eviction now.
             let is_wait_useless = evictable_in.is_none() && !self.slots.is_at_hard_limit();
             if remaining <= TimeDelta::ZERO || is_wait_useless {
                 return self.slots.acquire(EvictionScope::WithoutOpenRequest);
--- a/src/front/connection_slots.rs
+++ b/src/front/connection_slots.rs
@@ -21,7 +21,7 @@
 /// a request, or after a part of a message arrived: its next bytes are probably in transit.
 const EVICTION_GRACE: TimeDelta = TimeDelta::from_millis(50);
 
-/// Connections that may be evicted for a new connection.
+/// Which connections may be evicted for a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionScope {
     /// Connections without a session, and sessions of which no request has been admitted.
@@ -72,17 +72,19 @@
         self.evicted.notify_one();
     }
 
-    /// Whether the connection can be evicted now. Sessions can be evicted only if `may_evict_idle`.
-    fn is_evictable(&self, scope: EvictionScope, may_evict_idle: bool) -> bool {
-        let may_evict_served = scope == EvictionScope::WithoutOpenRequest;
+    /// Whether the connection can be evicted now. Sessions can be evicted only if `may_evict_sessions`.
+    fn is_evictable(&self, scope: EvictionScope, may_evict_sessions: bool) -> bool {
+        let may_evict_after_request = scope == EvictionScope::WithoutOpenRequest;
         let in_grace = now() - self.activity_since.get() <= EVICTION_GRACE;
         match self.activity.get() {
             _ if self.is_evicted.get() => false,
             SlotActivity::Handshaking => !in_grace,
-            SlotActivity::Idle | SlotActivity::ReceivingMessage if !may_evict_idle => false,
-            SlotActivity::Idle if self.has_requested.get() => may_evict_served,
+            SlotActivity::Idle | SlotActivity::ReceivingMessage if !may_evict_sessions => false,
+            SlotActivity::Idle if self.has_requested.get() => may_evict_after_request,
             SlotActivity::Idle => !in_grace,
-            SlotActivity::ReceivingMessage => !in_grace && (may_evict_served || !self.has_requested.get()),
+            SlotActivity::ReceivingMessage => {
+                !in_grace && (may_evict_after_request || !self.has_requested.get())
+            }
             SlotActivity::Executing => false,
         }
     }
@@ -99,12 +101,12 @@
 
     /// Whether the connection is evictable in the scope [`EvictionScope::WithoutRequest`] once its grace
     /// period is over.
-    fn is_evictable_after_grace(&self, may_evict_idle: bool) -> bool {
+    fn is_evictable_after_grace(&self, may_evict_sessions: bool) -> bool {
         match self.activity.get() {
             _ if self.is_evicted.get() => false,
             SlotActivity::Handshaking => true,
             SlotActivity::Idle | SlotActivity::ReceivingMessage => {
-                may_evict_idle && !self.has_requested.get()
+                may_evict_sessions && !self.has_requested.get()
             }
             SlotActivity::Executing => false,
         }
@@ -121,8 +123,9 @@
     max_evicted: usize,
     /// Notified when a slot is released.
     released: Notify,
-    /// Whether idle sessions can be evicted, since they have no state that their clients would lose.
-    may_evict_idle: bool,
+    /// Whether sessions without an open request can be evicted, since they have no state that their clients
+    /// would lose.
+    may_evict_sessions: bool,
 }
 
 /// A slot in use; it is released on drop.
@@ -135,22 +138,23 @@
 
 impl ConnectionSlots {
     /// Creates `max_slots` slots, and `max_evicted` additional ones, which are used while evicted connections
-    /// still hold a slot. `may_evict_idle` is whether sessions can be evicted.
-    pub fn new(max_slots: usize, max_evicted: usize, may_evict_idle: bool) -> Rc<ConnectionSlots> {
+    /// still hold a slot. Sessions can be evicted only if `may_evict_sessions`.
+    pub fn new(max_slots: usize, max_evicted: usize, may_evict_sessions: bool) -> Rc<ConnectionSlots> {
         Rc::new(ConnectionSlots {
             states: RefCell::default(),
             next_number: Cell::new(0),
             max_slots,
             max_evicted,
             released: Notify::new(),
-            may_evict_idle,
+            may_evict_sessions,
         })
     }
 
     /// Acquires a slot, evicting another connection if necessary; `None` if none can be evicted or too many
     /// evicted connections are still open.
     pub fn acquire(self: &Rc<Self>, scope: EvictionScope) -> Option<ConnectionSlot> {
-        // An evicted session completes the request it has begun, and holds its descriptor until then.
+        // An evicted session still answers a message that arrived before the eviction took effect, and holds
+        // its descriptor until then, so the number of evicted connections is bounded too.
         if self.is_at_hard_limit() {
             return None;
         }
@@ -179,7 +183,7 @@
         let states = self.states.borrow();
         let candidate = states
             .values()
-            .filter(|state| state.is_evictable(scope, self.may_evict_idle))
+            .filter(|state| state.is_evictable(scope, self.may_evict_sessions))
             .min_by_key(|state| (state.eviction_rank(), state.activity_since.get()));
         candidate.inspect(|state| state.evict()).is_some()
     }
@@ -188,7 +192,8 @@
     /// is evictable now; `None` if no connection will become evictable.
     pub fn time_until_evictable(&self) -> Option<TimeDelta> {
         let states = self.states.borrow();
-        let candidates = states.values().filter(|state| state.is_evictable_after_grace(self.may_evict_idle));
+        let candidates =
+            states.values().filter(|state| state.is_evictable_after_grace(self.may_evict_sessions));
         let remaining = candidates.map(|state| state.activity_since.get() + EVICTION_GRACE - now()).min();
         remaining.map(|remaining| remaining.max(TimeDelta::ZERO))
     }
--- a/src/front/extended/objects.rs
+++ b/src/front/extended/objects.rs
@@ -1,4 +1,5 @@
-//! State of a session between its messages: prepared statements, portals, and its time-out.
+//! State that a session keeps from one message to the next: prepared statements, portals, and the time-out of
+//! requests that set none.
 
 use super::prepared::{Portal, PortalState, PreparedStatement};
 use super::statement_kind::{classify, Setting, StatementKind};
@@ -10,9 +11,9 @@
 use std::rc::Rc;
 
 /// Maximum total length of the texts of a session's statements and portals, in bytes.
-const MAX_BYTES: usize = 256 * 1024;
+const MAX_TEXT_BYTES: usize = 256 * 1024;
 /// Maximum number of statements of a session; the number of its portals has the same limit.
-const MAX_OBJECTS: usize = 256;
+const MAX_OBJECTS_PER_KIND: usize = 256;
 /// Maximum number of a session's suspended portals, each of which retains a result in memory.
 const MAX_SUSPENDED_PORTALS: usize = 4;
 
@@ -176,7 +177,7 @@
     /// Checks that one more object of `added_bytes` stays within the limits; `count` is the number of
     /// existing objects of its kind.
     fn check_limits(&self, count: usize, added_bytes: usize) -> Result<(), ErrorResponse> {
-        if count < MAX_OBJECTS && self.total_bytes() + added_bytes <= MAX_BYTES {
+        if count < MAX_OBJECTS_PER_KIND && self.total_bytes() + added_bytes <= MAX_TEXT_BYTES {
             return Ok(());
         }
         let error = ErrorResponse::new("53200", "this session holds too many statements and portals");
--- a/src/front/extended/prepared.rs
+++ b/src/front/extended/prepared.rs
@@ -13,7 +13,8 @@
 /// Maximum number of parameters of a statement.
 const MAX_PARAMETERS: usize = 1_000;
 
-/// A prepared statement.
+/// A prepared statement: the fields of its leading comment, the statement without the comment, and the types
+/// of its parameters.
 pub(crate) struct PreparedStatement {
     /// Fields of the statement's comment. A value that begins with `$` refers to a parameter by number.
     field_pairs: Vec<(String, String)>,
@@ -131,7 +132,7 @@
             formats: result_formats,
             state: PortalState::Ready,
         };
-        portal.fields()?;
+        portal.request_fields()?;
         Ok(portal)
     }
 }
@@ -157,7 +158,7 @@
     ///
     /// # Errors
     /// If a value does not fit its field.
-    pub(crate) fn fields(&self) -> Result<fields::Fields, ErrorResponse> {
+    pub(crate) fn request_fields(&self) -> Result<fields::Fields, ErrorResponse> {
         let present =
             self.field_pairs.iter().filter_map(|(name, value)| Some((name.as_str(), value.as_deref()?)));
         let mut fields = fields::read(present).map_err(ErrorResponse::from)?;
--- a/src/front/session/execute.rs
+++ b/src/front/session/execute.rs
@@ -71,7 +71,7 @@
             PortalState::Suspended { result, next } => return Ok(Some((result, next))),
             PortalState::Ready => {}
         }
-        let request_fields = portal.fields()?;
+        let request_fields = portal.request_fields()?;
         // A time-out in the statement's comment counts from the arrival of the message. A time-out of the
         // session or the class counts from the start of this execution, so that earlier messages of the batch
         // do not shorten it.
--- a/src/front/sessionless.rs
+++ b/src/front/sessionless.rs
@@ -53,7 +53,7 @@
     }
 
     /// Adds a connection, evicting one if necessary, which may be the new one.
-    pub fn enter(self: &Rc<Self>, phase: SessionlessPhase) -> SessionlessConnection {
+    pub fn add(self: &Rc<Self>, phase: SessionlessPhase) -> SessionlessConnection {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let state = Rc::new(SessionlessState { phase: Cell::new(phase), evicted: CancellationToken::new() });
--- a/src/front/sessionless/tests.rs
+++ b/src/front/sessionless/tests.rs
@@ -20,17 +20,17 @@
     let mut held = Vec::new();
     let mut expected = Vec::new();
     for (index, (phase, evicted)) in entries.into_iter().enumerate() {
-        held.push(connections.enter(phase));
+        held.push(connections.add(phase));
         expected.extend(evicted);
         expected.sort_unstable();
         let evicted: Vec<usize> = (0..=index).filter(|i| held[*i].is_evicted()).collect();
         assert_eq!(evicted, expected, "after {index}");
     }
     held[6].set_closing();
-    let _newer = connections.enter(Handshaking);
+    let _newer = connections.add(Handshaking);
     assert!(held[6].is_evicted() && !held[3].is_evicted() && !held[4].is_evicted());
     drop(held.remove(3));
-    let _newest = connections.enter(Handshaking);
+    let _newest = connections.add(Handshaking);
     assert!(!held[3].is_evicted(), "no eviction was necessary");
     assert!(connections.evict_one() && connections.evict_one() && connections.evict_one());
     assert!(!connections.evict_one());
