--- a/src/proto/engine_answer.rs
+++ b/src/proto/engine_answer.rs
@@ -115,7 +115,7 @@
     },
     /// One more page of a result.
     Page {
-        /// Index of the page; the first page has 0.
+        /// Number of the page in the result, from 0.
         number: usize,
     },
     /// The answer to a health check.
--- a/src/proto/pg/message.rs
+++ b/src/proto/pg/message.rs
@@ -25,7 +25,8 @@
     pub(super) const EXECUTE: u8 = b'E';
     /// Flush: requests the answers that are still buffered.
     pub(super) const FLUSH: u8 = b'H';
-    /// Sync: ends a batch.
+    /// Sync: ends a series of messages of the extended query protocol; after an error, messages up to it are
+    /// skipped.
     pub(super) const SYNC: u8 = b'S';
     /// Terminate: ends the session.
     pub(super) const TERMINATE: u8 = b'X';
@@ -90,7 +91,7 @@
     Close(ObjectKind, &'a str),
     /// Requests the answers that are still buffered.
     Flush,
-    /// Ends a batch.
+    /// Ends a series of messages of the extended query protocol.
     Sync,
     /// Ends the session.
     Terminate,
--- a/src/proto/pg/startup_packet.rs
+++ b/src/proto/pg/startup_packet.rs
@@ -28,7 +28,7 @@
     Cancel {
         /// The process id, from BackendKeyData, of the session whose request the client asks to cancel.
         process_id: u32,
-        /// The secret key of this session, from BackendKeyData.
+        /// The secret key of that session, from BackendKeyData.
         secret: u32,
     },
     /// StartupMessage: the client starts a session.
--- a/src/simulator/adapter.rs
+++ b/src/simulator/adapter.rs
@@ -98,7 +98,7 @@
     BatchComplete,
 }
 
-/// One instance of the policy, with the names of the engines that it knows. The number of an engine is the
+/// One instance of the policy, with the names of the engines that it knows. The id of an engine is the
 /// position of its name in `engine_names`, in the order in which the names were received.
 struct Instance {
     policy: Policy,
--- a/src/simulator/codec.rs
+++ b/src/simulator/codec.rs
@@ -77,7 +77,7 @@
         instance: String,
         /// Name of the engine that was probed.
         engine: String,
-        /// Outcome of the probe.
+        /// How the probe ended: the engine answered it, or the reason why there is no answer.
         outcome: Outcome,
         /// The engine's load report; empty if the line has none.
         report: LoadReport,
--- a/src/simulator/codec/names.rs
+++ b/src/simulator/codec/names.rs
@@ -114,9 +114,10 @@
     pub(crate) const OUTCOME: &str = "disposition";
     /// Latency of an attempt, in seconds.
     pub(crate) const LATENCY: &str = "lag";
-    /// Whether the client has received its response.
-    pub(crate) const COMPLETE: &str = "complete";
-    /// The work and the memory that a query used, encoded as one number.
+    /// Whether the request is over: its client has the response or has disconnected.
+    pub(crate) const REQUEST_COMPLETE: &str = "complete";
+    /// The work and the memory that a query used, as one number: the work in thread-milliseconds times 4096,
+    /// plus the memory in units of 4 MB.
     pub(crate) const QUERY_COST: &str = "bill";
     /// An engine's load report: `name:value` pairs separated by commas.
     pub(crate) const LOAD_REPORT: &str = "pressure";
--- a/src/simulator/codec/parse.rs
+++ b/src/simulator/codec/parse.rs
@@ -130,7 +130,7 @@
         attempt: fields.integer(3, field::ATTEMPT)? as u32,
         outcome: fields.outcome(5)?,
         latency: TimeDelta::from_secs_f64(fields.optional_number(6, field::LATENCY)?.unwrap_or(0.0)),
-        complete: fields.flag(7, field::COMPLETE)?,
+        complete: fields.flag(7, field::REQUEST_COMPLETE)?,
         query_cost: fields.query_cost(8)?,
         report: fields.report(9)?,
     };
--- a/src/simulator/codec/print.rs
+++ b/src/simulator/codec/print.rs
@@ -40,7 +40,8 @@
     let _ = write!(out, "\t{:016x}", id.0);
 }
 
-/// Appends an action of an instance as a line; `engine_name` returns an engine's name on the wire.
+/// Appends an action of an instance (a simulated manager) as a line; `engine_name` returns an engine's name
+/// on the wire.
 pub fn print_action<'a>(
     out: &mut String,
     instance: &str,
