--- a/crates/admin/tests/calls.rs
+++ b/crates/admin/tests/calls.rs
@@ -12,8 +12,8 @@
     let address = start_with_default_limits();
     let health = get(address, "/admin/health");
     assert_eq!((health.status, health.body.as_str()), (200, "ok\n"));
-    let cordoned = post(address, "/admin/cordon", "{\"target\":\"s-2\"}");
-    assert_eq!((cordoned.status, cordoned.body.as_str()), (200, "done\n"));
+    let cordon_response = post(address, "/admin/cordon", "{\"target\":\"s-2\"}");
+    assert_eq!((cordon_response.status, cordon_response.body.as_str()), (200, "done\n"));
     assert_eq!(post(address, "/admin/cordon", "{\"target\":\"s-2\"}").body, "done already\n");
     assert_eq!(get(address, "/admin/health").status, 503);
     let stats = get(address, "/admin/stats?since=1");
--- a/crates/metrics/src/request_accounting.rs
+++ b/crates/metrics/src/request_accounting.rs
@@ -22,7 +22,7 @@
 
 /// Counters of the requests of one class.
 #[derive(Debug, Default)]
-struct Account {
+struct RequestCounters {
     started: AtomicValue,
     succeeded: AtomicValue,
     rejected: AtomicValue,
@@ -30,9 +30,9 @@
     abandoned: AtomicValue,
 }
 
-impl Account {
+impl RequestCounters {
     /// Number of requests started and not yet completed. It is never negative: each completion comes from a
-    /// guard, and each guard was counted as started when it was created.
+    /// guard, and each request was counted as started when its guard was created.
     fn outstanding(&self) -> u64 {
         let completed =
             self.succeeded.get() + self.rejected.get() + self.aborted.get() + self.abandoned.get();
@@ -63,9 +63,9 @@
 /// Accounts of the requests of all classes, and of requests with an invalid class index.
 #[derive(Debug)]
 pub struct RequestAccounting {
-    accounts: Vec<Rc<Account>>,
-    /// Account of requests with an invalid class index.
-    unclassed_account: Rc<Account>,
+    counters_by_class: Vec<Rc<RequestCounters>>,
+    /// Counters of requests with an invalid class index.
+    unclassed_counters: Rc<RequestCounters>,
     /// Number of abandoned requests of all classes: the platform's format has no line per class for them.
     abandoned: AtomicValue,
     /// Number of completed requests with an invalid class index.
@@ -76,8 +76,8 @@
     /// Creates the accounting for `classes` request classes, with all counts 0.
     pub fn new(classes: usize) -> RequestAccounting {
         RequestAccounting {
-            accounts: (0..classes).map(|_| Rc::default()).collect(),
-            unclassed_account: Rc::default(),
+            counters_by_class: (0..classes).map(|_| Rc::default()).collect(),
+            unclassed_counters: Rc::default(),
             abandoned: AtomicValue::default(),
             unclassed: AtomicValue::default(),
         }
@@ -85,11 +85,11 @@
 
     /// Counts a request as started; see [`crate::Metrics::start_request`].
     pub fn start(&self, class: usize) -> ActiveRequest {
-        let known = self.accounts.get(class);
-        let account = Rc::clone(known.unwrap_or(&self.unclassed_account));
-        account.started.add(1);
+        let known = self.counters_by_class.get(class);
+        let counters = Rc::clone(known.unwrap_or(&self.unclassed_counters));
+        counters.started.add(1);
         ActiveRequest {
-            account,
+            counters,
             abandoned: self.abandoned.clone(),
             unclassed: known.is_none().then(|| self.unclassed.clone()),
             completion: Completion::Aborted,
@@ -98,25 +98,25 @@
 
     /// Number of requests started and not yet completed, including those with an invalid class index.
     pub fn outstanding(&self) -> u64 {
-        let classed: u64 = self.accounts.iter().map(|account| account.outstanding()).sum();
-        classed + self.unclassed_account.outstanding()
+        let classed: u64 = self.counters_by_class.iter().map(|counters| counters.outstanding()).sum();
+        classed + self.unclassed_counters.outstanding()
     }
 
     /// Number of completed requests of a class, by outcome; `None` for an invalid class index.
     pub fn counts(&self, class: usize) -> Option<RequestCounts> {
-        self.accounts.get(class).map(|account| RequestCounts {
-            succeeded: account.succeeded.get(),
-            rejected: account.rejected.get(),
-            aborted: account.aborted.get(),
-            abandoned: account.abandoned.get(),
+        self.counters_by_class.get(class).map(|counters| RequestCounts {
+            succeeded: counters.succeeded.get(),
+            rejected: counters.rejected.get(),
+            aborted: counters.aborted.get(),
+            abandoned: counters.abandoned.get(),
         })
     }
 
-    pub(crate) fn class_counters(&self) -> impl Iterator<Item = ClassCounters> + '_ {
-        self.accounts.iter().map(|account| ClassCounters {
-            succeeded: account.succeeded.clone(),
-            rejected: account.rejected.clone(),
-            aborted: account.aborted.clone(),
+    pub(crate) fn counters_by_class(&self) -> impl Iterator<Item = ClassCounters> + '_ {
+        self.counters_by_class.iter().map(|counters| ClassCounters {
+            succeeded: counters.succeeded.clone(),
+            rejected: counters.rejected.clone(),
+            aborted: counters.aborted.clone(),
         })
     }
 
@@ -135,7 +135,7 @@
 #[derive(Debug)]
 #[must_use = "a request whose guard is dropped counts as aborted"]
 pub struct ActiveRequest {
-    account: Rc<Account>,
+    counters: Rc<RequestCounters>,
     abandoned: AtomicValue,
     /// The counter of completed requests with an invalid class index, if this request has one.
     unclassed: Option<AtomicValue>,
@@ -173,11 +173,11 @@
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
         match self.completion {
-            Completion::Succeeded => self.account.succeeded.add(1),
-            Completion::Rejected => self.account.rejected.add(1),
-            Completion::Aborted => self.account.aborted.add(1),
+            Completion::Succeeded => self.counters.succeeded.add(1),
+            Completion::Rejected => self.counters.rejected.add(1),
+            Completion::Aborted => self.counters.aborted.add(1),
             Completion::Abandoned => {
-                self.account.abandoned.add(1);
+                self.counters.abandoned.add(1);
                 self.abandoned.add(1);
             }
         }
--- a/crates/settings/src/wire_settings.rs
+++ b/crates/settings/src/wire_settings.rs
@@ -40,7 +40,7 @@
     /// Properties of engines, and of the queries that run on them.
     #[serde(rename = "specifics", deserialize_with = "section")]
     pub engines: WireEngines,
-    /// What the site allows, and its limits on attempts and connections.
+    /// What the platform allows, and its limits on attempts and connections.
     #[serde(deserialize_with = "section")]
     pub limits: WireLimits,
     /// Rules of the site that each manager must obey.
@@ -143,8 +143,8 @@
     pub reports_cost: Flag,
 }
 
-/// What the site allows, and its limits on attempts and connections (`limits` in the settings; limits on the
-/// process are [`crate::ProcessLimits`]).
+/// What the platform allows, and its limits on attempts and connections (`limits` in the settings; limits on
+/// the process are [`crate::ProcessLimits`]).
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct WireLimits {
--- a/crates/settings/tests/unusual_sites.rs
+++ b/crates/settings/tests/unusual_sites.rs
@@ -1,5 +1,6 @@
-//! Tests of sites with unusual names, effects and limits: only the values determine the converted settings,
-//! and parsing one configuration leaves no state for the next one.
+//! Tests of platform configurations with unusual names, effects of classes (whether a retry is safe) and
+//! limits: names have no influence on the converted settings, and parsing one configuration leaves no state
+//! for the next one.
 
 use serde_json::{json, Value};
 use sprucelink_policy::{DedupGroup, Effect, TimeDelta};
--- a/src/run/cli/options.rs
+++ b/src/run/cli/options.rs
@@ -23,14 +23,14 @@
         capture: PathBuf,
         /// The request, engine or instant to explain.
         query: ExplainQuery,
-        /// Print JSON lines.
+        /// Whether to print JSON lines.
         json: bool,
     },
     /// List the segments of a capture.
     CaptureShow {
         /// The capture: a file or a folder.
         capture: PathBuf,
-        /// Print JSON.
+        /// Whether to print JSON.
         json: bool,
     },
     /// Cut a test case out of a capture.
@@ -39,21 +39,21 @@
     CaptureVerify {
         /// The cases: files, or folders of files.
         cases: Vec<PathBuf>,
-        /// Print JSON lines.
+        /// Whether to print JSON lines.
         json: bool,
     },
     /// Print a statement's fingerprint.
     ShapesExplain {
-        /// Text of the statement.
+        /// The SQL statement whose fingerprint is printed.
         statement: String,
-        /// Print JSON.
+        /// Whether to print JSON.
         json: bool,
     },
     /// Print the members in the view of a running manager.
     FleetMembers {
         /// UDP address on which the manager's membership listens, as the manager logs it.
         address: SocketAddr,
-        /// Print JSON lines.
+        /// Whether to print JSON lines.
         json: bool,
     },
     /// Print the version.
--- a/src/run/cli/parser.rs
+++ b/src/run/cli/parser.rs
@@ -51,7 +51,7 @@
     help: bool,
     version: bool,
     json: bool,
-    serve: ServeOptions,
+    serve_options: ServeOptions,
     replay: ReplayOptions,
     queries: Vec<ExplainQuery>,
     around: Option<Moment>,
@@ -84,7 +84,7 @@
 
     fn read_serve_option(&mut self, name: &str, parser: &mut Parser) -> Result<(), CliError> {
         let value = parser.value()?.string()?;
-        let serve = &mut self.serve;
+        let serve = &mut self.serve_options;
         match name {
             "config" => serve.config = Some(value),
             "listen" => serve.listen = Some(value),
@@ -174,8 +174,8 @@
     fn build(self, subcommand: &Subcommand, arguments: &[String]) -> Result<Command, CliError> {
         let command = subcommand.name;
         Ok(match subcommand.id {
-            SubcommandId::Serve => Command::Serve(self.serve),
-            SubcommandId::Check => Command::Check(self.serve),
+            SubcommandId::Serve => Command::Serve(self.serve_options),
+            SubcommandId::Check => Command::Check(self.serve_options),
             SubcommandId::Replay => Command::Replay(ReplayOptions {
                 capture: capture_path(command, arguments)?,
                 times: self.replay.times.max(1),
--- a/src/run/cli/subcommands.rs
+++ b/src/run/cli/subcommands.rs
@@ -3,27 +3,27 @@
 /// Identifier of a sub-command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubcommandId {
-    /// `serve`
+    /// `serve`: serves clients.
     Serve,
-    /// `check`
+    /// `check`: checks the files that `serve` would read.
     Check,
-    /// `replay`
+    /// `replay`: replays a capture and compares the actions.
     Replay,
-    /// `explain`
+    /// `explain`: prints what a capture holds about a request, an engine or an instant.
     Explain,
-    /// `capture show`
+    /// `capture show`: lists the segments of a capture.
     CaptureShow,
-    /// `capture cut`
+    /// `capture cut`: cuts a test case out of a capture.
     CaptureCut,
-    /// `capture verify`
+    /// `capture verify`: replays test cases and checks their rules.
     CaptureVerify,
-    /// `shapes explain`
+    /// `shapes explain`: prints the fingerprint of a statement.
     ShapesExplain,
-    /// `fleet members`
+    /// `fleet members`: prints the members in the view of a running manager.
     FleetMembers,
-    /// `version`
+    /// `version`: prints the version.
     Version,
-    /// `help`
+    /// `help`: prints a help text.
     Help,
 }
 
@@ -58,7 +58,7 @@
 /// First words of the sub-commands whose names have two words.
 pub const FAMILIES: [&str; 3] = ["capture", "shapes", "fleet"];
 
-/// Options of `serve`.
+/// Names of the options of `serve`, without dashes.
 const SERVE_OPTIONS: &[&str] = &[
     "config",
     "listen",
--- a/src/run/logging/tests.rs
+++ b/src/run/logging/tests.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
-/// Writer that collects its output.
+/// Writer that keeps the bytes written to it; its clones share them.
 #[derive(Clone, Default)]
 struct Output(Arc<Mutex<Vec<u8>>>);
 
--- a/src/run/membership_driver.rs
+++ b/src/run/membership_driver.rs
@@ -30,8 +30,9 @@
 /// Interval between two log lines with the counters of the membership.
 const COUNTERS_INTERVAL: TimeDelta = TimeDelta::from_secs(60);
 /// Number of live members above which gossip payloads are published less often.
-const LARGE_FLEET: usize = 100;
-/// Milliseconds that each member above [`LARGE_FLEET`] adds to the interval between two gossip payloads.
+const MAX_FULL_RATE_MEMBERS: usize = 100;
+/// Milliseconds that each member above [`MAX_FULL_RATE_MEMBERS`] adds to the interval between two gossip
+/// payloads.
 const EXTRA_MS_PER_MEMBER: f64 = 10.0;
 /// Maximum number of invalid datagrams that are logged within [`COUNTERS_INTERVAL`].
 const MAX_INVALID_DATAGRAM_LINES: u32 = 10;
@@ -103,7 +104,7 @@
         socket,
         next_payload: now(),
         next_counters: now() + COUNTERS_INTERVAL,
-        invalid_datagram_lines: 0,
+        logged_invalid_datagrams: 0,
         applied_budgets: None,
     };
     let task = tokio::task::spawn_local(driver.run(leave_requested));
@@ -153,7 +154,7 @@
     next_payload: Timestamp,
     next_counters: Timestamp,
     /// Number of log lines about invalid datagrams since the last log line of counters.
-    invalid_datagram_lines: u32,
+    logged_invalid_datagrams: u32,
     applied_budgets: Option<AppliedBudgets>,
 }
 
@@ -197,8 +198,8 @@
     fn handle_datagram(&mut self, datagram: &[u8], sender: SocketAddr) {
         match decode(datagram) {
             Ok(message) => self.swim.receive(now(), message),
-            Err(error) if self.invalid_datagram_lines < MAX_INVALID_DATAGRAM_LINES => {
-                self.invalid_datagram_lines += 1;
+            Err(error) if self.logged_invalid_datagrams < MAX_INVALID_DATAGRAM_LINES => {
+                self.logged_invalid_datagrams += 1;
                 warn!(%sender, %error, "membership datagram rejected");
             }
             Err(_) => {}
@@ -220,7 +221,7 @@
             return;
         }
         let members = self.swim.live_count();
-        let extra_ms = EXTRA_MS_PER_MEMBER * members.saturating_sub(LARGE_FLEET) as f64;
+        let extra_ms = EXTRA_MS_PER_MEMBER * members.saturating_sub(MAX_FULL_RATE_MEMBERS) as f64;
         let interval_ms = self.settings.share.payload_interval_ms + extra_ms;
         self.next_payload = now() + TimeDelta::from_secs_f64(interval_ms / 1e3);
         if let Some(payload) = self.core.gossip_payload() {
@@ -291,7 +292,7 @@
             return;
         }
         self.next_counters = now() + COUNTERS_INTERVAL;
-        self.invalid_datagram_lines = 0;
+        self.logged_invalid_datagrams = 0;
         let live = self.swim.live_count();
         let local_health = self.swim.local_health();
         let MembershipCounters { sent, received, suspicions, refutations, stops, .. } = self.swim.counters();
