--- a/crates/metrics/src/request_accounting.rs
+++ b/crates/metrics/src/request_accounting.rs
@@ -112,7 +112,7 @@
         })
     }
 
-    pub(crate) fn counters_by_class(&self) -> impl Iterator<Item = ClassCounters> + '_ {
+    pub(crate) fn class_counters(&self) -> impl Iterator<Item = ClassCounters> + '_ {
         self.counters_by_class.iter().map(|counters| ClassCounters {
             succeeded: counters.succeeded.clone(),
             rejected: counters.rejected.clone(),
