--- a/crates/capture/src/error.rs
+++ b/crates/capture/src/error.rs
@@ -176,7 +176,7 @@
         /// Highest allowed value.
         max: u64,
     },
-    /// The path of the folder is empty.
+    /// The path of the recorder's folder (`dir`) is empty.
     #[error("dir: the path is empty")]
     NoDirectory,
     /// The configured size of a segment exceeds that of all files together.
--- a/crates/capture/src/explain/explanation.rs
+++ b/crates/capture/src/explain/explanation.rs
@@ -12,7 +12,7 @@
 use sprucelink_policy::{Action, Event, Reason, RequestId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// State of an explanation over the replay of the segments.
+/// An explanation in progress: its question, and what is tracked while the segments are replayed.
 pub(super) struct Explanation<'a> {
     question: &'a Question,
     /// Assignment of numbers to engines at the current point of the replay.
--- a/crates/capture/src/segment_writer.rs
+++ b/crates/capture/src/segment_writer.rs
@@ -11,7 +11,7 @@
 /// zstd level of cases: it gives small files, and cases are written rarely.
 const COMPRESSION_LEVEL: i32 = 19;
 
-/// The content of a file that holds only this segment, in the recorder's format.
+/// Encodes a file that holds only this segment, in the recorder's format, and returns its content.
 ///
 /// # Errors
 /// A frame is too long or cannot be compressed, or the answers are recorded as digests.
--- a/crates/cordon/src/limits.rs
+++ b/crates/cordon/src/limits.rs
@@ -37,9 +37,9 @@
     /// cordons fit into one hot-restart state file. At the bound a further request is rejected with
     /// [`crate::CordonError::TooManyCordons`].
     pub max_cordon_id_bytes: usize,
-    /// Largest number of entries of inactive causes (512). At the bound the entry with the lowest version is
-    /// evicted. An older cordon of a process that has not yet merged the evicted uncordon could then become
-    /// active again, which is safer than the loss of a cordon.
+    /// Largest number of tombstones, the entries of inactive causes (512). At the bound the entry with the
+    /// lowest version is evicted. An older cordon of a process that has not yet merged the evicted uncordon
+    /// could then become active again, which is safer than the loss of a cordon.
     pub max_tombstones: usize,
     /// Largest total length of the engine ids of inactive causes, in bytes (16 KiB). At the bound the entry
     /// with the lowest version is evicted.
--- a/crates/cordon/src/manager_state.rs
+++ b/crates/cordon/src/manager_state.rs
@@ -12,8 +12,8 @@
     Serving,
     /// The manager accepts no new connections and completes the requests in flight.
     Quiescing {
-        /// Time at which the manager was cordoned; if it was quiesced since and has work in flight again, the
-        /// time at which it became quiesced.
+        /// Time at which the manager was cordoned. If the manager became [`ManagerState::Quiesced`] after
+        /// that and has work in flight again: the time at which it became so.
         since: Timestamp,
     },
     /// The manager accepts no new connections and has nothing in flight.
--- a/crates/query-fingerprint/src/cache/tests.rs
+++ b/crates/query-fingerprint/src/cache/tests.rs
@@ -6,8 +6,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::with_cases(128) })]
 
-    /// The bounds are never exceeded, a read gives the value that was stored last, and queues and slots
-    /// agree.
+    /// The bounds are never exceeded, and a read gives the value that was stored last. The small and the main
+    /// queue together hold as many keys as there are entries, and the sizes of the slots sum to the counted
+    /// bytes.
     #[test]
     fn bounds_hold_and_reads_give_the_last_stored_value(operations in prop::collection::vec((0_u64..60, 1_usize..40, any::<bool>()), 1..600)) {
         let bounds = Bounds { entries: 20, bytes: 300 };
--- a/crates/query-fingerprint/src/retry_guard.rs
+++ b/crates/query-fingerprint/src/retry_guard.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetryDecision {
-    /// The statement may be sent as often as its class declares.
+    /// The declared effect of the statement's class alone decides whether it may be sent again.
     AsDeclared,
     /// The statement may be sent at most once.
     Once,
--- a/crates/query-fingerprint/tests/corpus.rs
+++ b/crates/query-fingerprint/tests/corpus.rs
@@ -203,7 +203,7 @@
     }
 
     /// A statement of the corpus is read without a panic if it is truncated anywhere or a character is
-    /// inserted. A statement that cannot be parsed counts as one that may write and load.
+    /// inserted. A statement that cannot be parsed counts as one that may write, also in bulk.
     #[test]
     fn truncated_or_altered_statement_is_read_without_panic((text, _) in respelled(), cut in 0_usize..400, inserted in "\\PC") {
         let cut = (0..=cut.min(text.len())).rev().find(|index| text.is_char_boundary(*index)).unwrap_or(0);
--- a/crates/startup/src/endpoint_list_guard.rs
+++ b/crates/startup/src/endpoint_list_guard.rs
@@ -86,7 +86,8 @@
     revision: u64,
     /// States of the engines in the current list, by id.
     states: BTreeMap<String, EndpointState>,
-    /// Time at which the first stale complete list since the last newer event arrived.
+    /// Arrival time of the first stale complete list after the last event that was not stale; `None` if there
+    /// was no such list.
     stale_since: Option<Timestamp>,
 }
 
--- a/crates/zone-failover/src/failure_detector.rs
+++ b/crates/zone-failover/src/failure_detector.rs
@@ -21,7 +21,7 @@
     pub engine: u32,
     /// Index of the engine's zone.
     pub zone: u32,
-    /// Time at which the engine last sent anything; `None` if it never did.
+    /// Time at which the engine last sent an answer or a progress note; `None` if it never did.
     pub last_response_at: Option<Timestamp>,
     /// Whether the engine accepts work but never responds, or no connection to it can be established.
     pub is_silent: bool,
--- a/crates/zone-failover/src/zone_failover.rs
+++ b/crates/zone-failover/src/zone_failover.rs
@@ -18,7 +18,7 @@
 pub struct Locality {
     /// Index of the manager's zone.
     pub zone: u32,
-    /// Index of the manager's region.
+    /// Index of the manager's region, a group of zones; see [`crate::config::FailoverConfig::region`].
     pub region: u32,
 }
 
--- a/src/core/connection_task.rs
+++ b/src/core/connection_task.rs
@@ -75,8 +75,9 @@
 }
 
 impl ConnectionEnd {
-    /// An end that is not attributed to this process: the engine or the network ended the connection, or a
-    /// dial timed out.
+    /// An end that is not attributed to this process: the engine or the network ended the connection, a dial
+    /// timed out, or an option of the new socket could not be set. Also the end of a connection that is idle
+    /// or already closed, which has no attempts.
     fn remote(reason: impl ToString) -> ConnectionEnd {
         ConnectionEnd { reason: reason.to_string(), is_local: false }
     }
--- a/src/core/coordinator.rs
+++ b/src/core/coordinator.rs
@@ -78,7 +78,8 @@
     statistics: RequestStatistics,
     fleet: FleetState,
     cordons: CordonState,
-    /// Start-up control; `None` if it is off.
+    /// Start-up control: paces dials, limits the pending requests during warm-up, checks endpoint lists for
+    /// staleness and reports readiness. `None` if it is off.
     startup: Option<StartupControl>,
     /// Seed of start-up control.
     seed: u64,
--- a/src/core/coordinator/attempts.rs
+++ b/src/core/coordinator/attempts.rs
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Withdraws an attempt that may not be sent, for `reason`; `process_due` ends it.
+    /// Withdraws an attempt that must not be sent, for `reason`; `process_due` ends it.
     fn withdraw_unauthorized(
         &mut self,
         now: Timestamp,
--- a/src/core/coordinator/engines.rs
+++ b/src/core/coordinator/engines.rs
@@ -174,6 +174,7 @@
     ) -> Vec<PolicyCommand> {
         self.engines.remove_connection(connection);
         let mut commands = Vec::new();
+        // Of the sent attempts, only the first counts as a fault of the engine, and none after a local close.
         let mut fault_is_counted = is_local;
         let was_dialing = connection.is_dialing();
         for interrupted in connection.close() {
--- a/src/core/coordinator/responses.rs
+++ b/src/core/coordinator/responses.rs
@@ -16,9 +16,10 @@
 use sprucelink_policy::TimeDelta;
 use tracing::{debug, error, field};
 
-/// Time before the deadline of a request within which a rejection or failure is reported as
-/// [`UnservedReason::DeadlineExceeded`]. The policy responds to a request whose deadline is 50 ms away
-/// (`RESPONSE_MARGIN`); this margin is 10 ms longer, so that all these responses have this reason.
+/// A rejection or failure in this last part of the time before a request's deadline is reported as
+/// [`UnservedReason::DeadlineExceeded`]. The policy gives a request that still waits its final response 50 ms
+/// before the deadline (`RESPONSE_MARGIN`); this margin is 10 ms longer, so that all these responses have
+/// this reason.
 const DEADLINE_MARGIN: TimeDelta = TimeDelta::from_millis(60);
 
 impl Coordinator {
--- a/src/core/endpoint_client.rs
+++ b/src/core/endpoint_client.rs
@@ -170,7 +170,7 @@
         // The event was already applied, so a damaged copy loses nothing.
         Err(_) if event.id.is_some_and(|number| number <= last_event) => {}
         Err(error) if watch.should_retry_event(event.id) => return Err(PollError::Event(error)),
-        // An unreadable event would otherwise end every poll.
+        // The event has no retries left and is skipped: requested again, it would end each further poll.
         Err(error) => skip(core, event.id, &error),
     }
     if core.last_event() != last_event {
--- a/src/core/engine_connection.rs
+++ b/src/core/engine_connection.rs
@@ -131,9 +131,9 @@
         })
     }
 
-    /// Whether the connection may carry an attempt of request `id`. It may not carry the attempt if an
-    /// earlier attempt of the request ended unserved on the connection: a late answer to the earlier attempt
-    /// could not be distinguished from an answer to the new attempt.
+    /// Whether the connection may carry an attempt of request `id`: it is not closed, retired, unresponsive
+    /// or at its limit of attempts, and no earlier attempt of the request ended unserved on it. A late answer
+    /// to such an earlier attempt could not be distinguished from an answer to the new attempt.
     pub fn accepts(&self, id: u64, limits: &ConnectionLimits) -> bool {
         !self.is_closed()
             && !self.is_retired.get()
--- a/src/core/request_counters.rs
+++ b/src/core/request_counters.rs
@@ -12,7 +12,7 @@
     pub(super) served: u32,
     /// Requests rejected, which their clients may retry without harm.
     pub(super) rejected: u32,
-    /// Requests failed, of which an attempt may have run.
+    /// Requests that failed; an attempt of such a request may have run.
     pub(super) failed: u32,
     /// Requests abandoned or cancelled by their clients.
     pub(super) abandoned: u32,
--- a/src/core/zone_routing.rs
+++ b/src/core/zone_routing.rs
@@ -67,7 +67,7 @@
         self.next_check
     }
 
-    /// Replaces the other managers and their observations.
+    /// Sets the other managers, each with its last gossip payload, in place of the previous ones.
     pub(super) fn set_observers(&mut self, observers: Vec<Observer>) {
         self.observers = observers;
     }
