--- a/crates/cluster-harness/examples/standin.rs
+++ b/crates/cluster-harness/examples/standin.rs
@@ -160,7 +160,8 @@
     send_records(stream, plan, journal, sent, first.contains("kind=permit"))
 }
 
-/// Sends each record of the journal after the one numbered `sent`, as it is written.
+/// Follows the journal as it grows and sends its records after number `sent`, with the plan's violations;
+/// sends only permits if `only_permits` is set.
 fn send_records(
     mut stream: TcpStream,
     plan: &Plan,
--- a/crates/cluster-harness/src/engines/machine.rs
+++ b/crates/cluster-harness/src/engines/machine.rs
@@ -13,7 +13,7 @@
     pub cores: f64,
     /// Work of a light query (one thread), in seconds on one core.
     pub light: f64,
-    /// Work of a load (two threads), in seconds on one core.
+    /// Work of a heavy query (two threads), in seconds on one core.
     pub heavy: f64,
     /// Duration of the slow start, in seconds; 0: none.
     pub cold_for: f64,
--- a/crates/cluster-harness/src/run/calls.rs
+++ b/crates/cluster-harness/src/run/calls.rs
@@ -52,7 +52,8 @@
     }
 }
 
-/// Records a call, and its operation as acknowledged if the answer's status is 2xx.
+/// Records a call and its outcome. If the answer's status is 2xx, also records that the operation `op`, if
+/// any, was acknowledged.
 fn record_call(
     history: &Recorder,
     request_line: &str,
--- a/crates/cluster-harness/src/scenario/error.rs
+++ b/crates/cluster-harness/src/scenario/error.rs
@@ -37,7 +37,7 @@
     /// A template is unknown or names an unknown port.
     #[error("{path}: {source}")]
     Template {
-        /// Path of the text that contains the template.
+        /// Path in the scenario of the text that contains the template.
         path: String,
         /// The error of the template.
         source: TemplateError,
--- a/crates/cluster-harness/src/subscribers/mod.rs
+++ b/crates/cluster-harness/src/subscribers/mod.rs
@@ -49,7 +49,7 @@
 /// All stand-in subscribers of a run; dropping the value stops them.
 pub struct Subscribers {
     commands: broadcast::Sender<(u64, SubscriberAction)>,
-    /// Number of commands sent so far.
+    /// Number of commands sent so far. It is sent with each command as the command's number.
     commands_sent: u64,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
--- a/crates/cluster-harness/src/template.rs
+++ b/crates/cluster-harness/src/template.rs
@@ -16,7 +16,7 @@
     /// The template or its port is unknown.
     #[error("unknown template {{{0}}}, or unknown port in it")]
     Unknown(String),
-    /// The template has no value in this place.
+    /// The template is known, but has no value where it is used.
     #[error("the template {{{0}}} has no value here")]
     NoValue(String),
     /// The scenario declares no such port.
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -97,7 +97,7 @@
     managers: Vec<Manager>,
     /// Two feeds of each manager.
     feeds: Vec<[Feed; 2]>,
-    /// For each manager, the index in `feeds` of the feed that its configuration names.
+    /// For each manager, the index (0 or 1) of the one of its two feeds that its configuration names.
     active_feeds: Vec<usize>,
     engines: Vec<Engine>,
     started_engines: usize,
--- a/crates/schema-compat/src/check.rs
+++ b/crates/schema-compat/src/check.rs
@@ -133,7 +133,8 @@
     findings
 }
 
-/// Runs a translation and its inverse on samples of every record; returns the first failure.
+/// Runs a translation on sample records of each of the writer's record types, and its inverse on the results;
+/// returns the first failure.
 fn test_translation(
     translation: &Translation,
     inverse: &Translation,
--- a/crates/schema-compat/src/comparison/difference.rs
+++ b/crates/schema-compat/src/comparison/difference.rs
@@ -66,7 +66,7 @@
 pub(crate) struct SchemaComparison {
     pub(crate) direction: Direction,
     pub(crate) roots: Vec<RecordComparison>,
-    /// Comparisons by index of the pair of messages.
+    /// Comparison of each pair of a writer's and a reader's message, by the pair's index.
     pub(crate) message_comparisons: Vec<MessageComparison>,
     /// Whether the comparison stopped at a limit, so that the absence of differences proves nothing.
     pub(crate) exceeded: bool,
--- a/crates/schema-compat/src/comparison/field_values.rs
+++ b/crates/schema-compat/src/comparison/field_values.rs
@@ -69,7 +69,7 @@
 ) {
     let impact_if_unused = match (can_decode, to.required) {
         (true, _) => Impact::Nothing,
-        // A strict reader that requires the field fails the complete record without it.
+        // A strict reader that requires the field fails on a record from which the field was dropped.
         (false, true) => Impact::Break,
         (false, false) => Impact::Translate,
     };
@@ -98,7 +98,8 @@
     }
 }
 
-/// Compares the types of a single value or element.
+/// Compares the types of a field's single value, or of one of its elements. Returns the conversion, or why
+/// the types are incompatible.
 fn compare_value(
     context: &mut ComparisonContext,
     from: &Field,
--- a/crates/schema-compat/src/registry/propose.rs
+++ b/crates/schema-compat/src/registry/propose.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// The publisher's symbol history with the schema's numbers and names.
+/// The publisher's symbol history with the schema's numbers and names added.
 fn extended_history(publisher: &Publisher, schema: &Schema) -> Result<SymbolHistory, CommandRejection> {
     let mut symbol_history = publisher.symbol_history.clone();
     symbol_history.record(&schema.model);
--- a/crates/schema-compat/src/schema_options.rs
+++ b/crates/schema-compat/src/schema_options.rs
@@ -3,7 +3,7 @@
 use crate::error::SchemaError;
 use prost_reflect::{DescriptorPool, DynamicMessage, ExtensionDescriptor, Value};
 
-/// What a reader does with a value that its version does not know.
+/// What a reader does with an enum value or a oneof's member that its version does not know.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) enum UnknownValuePolicy {
     #[default]
--- a/crates/schema-compat/src/symbol_history.rs
+++ b/crates/schema-compat/src/symbol_history.rs
@@ -13,7 +13,7 @@
     /// Reserved ranges: first and last number, both included.
     pub(crate) reserved: BTreeSet<(i64, i64)>,
     pub(crate) reserved_names: BTreeSet<String>,
-    /// Names of members in the version recorded last.
+    /// Names of the message's fields or the enum's values in the version recorded last.
     pub(crate) present: BTreeSet<String>,
 }
 
--- a/crates/schema-compat/src/translate.rs
+++ b/crates/schema-compat/src/translate.rs
@@ -38,6 +38,7 @@
     roots: BTreeMap<String, (MessageDescriptor, usize)>,
     /// Steps by index of the pair of messages.
     steps_by_pair: Vec<Vec<FieldStep>>,
+    /// Whether a pair of messages has steps that change records, or a message has another name.
     changes: bool,
 }
 
--- a/crates/schema-compat/src/usage.rs
+++ b/crates/schema-compat/src/usage.rs
@@ -86,8 +86,8 @@
         /// Number of declared paths.
         count: usize,
     },
-    /// A path has more than [`MAX_PATH_STEPS`] steps, or more bytes than [`MAX_PATH_STEPS`] names of
-    /// [`MAX_NAME_BYTES`].
+    /// A path has more than [`MAX_PATH_STEPS`] steps, or more than [`MAX_PATH_STEPS`] * [`MAX_NAME_BYTES`]
+    /// bytes.
     #[error("usage path {start} is longer than {MAX_PATH_STEPS} steps")]
     PathTooLong {
         /// The first characters of the path.
--- a/tests/fleet_start.rs
+++ b/tests/fleet_start.rs
@@ -84,9 +84,10 @@
     outcome
 }
 
-/// Guards against overloading the list service when a fleet starts at once. Full jitter spreads the first
-/// calls over seconds if the window is wide, which installations may set if their engines reject work while
-/// they drain. Without the cold start each manager calls as soon as it is up.
+/// Guards against overloading the list service when a fleet starts at once. Each manager draws the time of
+/// its first call from a window (full jitter). The window may be seconds wide in installations whose engines
+/// reject work while they drain; the calls are then spread over seconds. Without the cold start each manager
+/// calls as soon as it is up.
 #[test]
 fn first_calls_of_managers_started_together_are_spread() {
     let wide =
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -264,7 +264,7 @@
     assert!(sessions[0].message().is_none(), "the session idle for longest was evicted");
     sessions[118].ask(&sql("lane-rate", 119 + 1, ""));
     let silent: Vec<RawClient> = (0..200).map(|_| RawClient::open(program.platform)).collect();
-    // Connections within their grace period are not evicted.
+    // Wait for the end of the silent connections' grace period, within which they are not evicted.
     std::thread::sleep(Duration::from_millis(100));
     for id in 200..240 {
         let mut client = RawClient::connect(program.platform);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -275,7 +275,7 @@
         Feed { address, events, calls, close_generation, open_calls, malformed }
     }
 
-    /// Number of open calls.
+    /// Number of calls to this feed that are open now.
     pub fn open_calls(&self) -> u64 {
         self.open_calls.load(Ordering::SeqCst)
     }
